--- a/gateway/admit.go
+++ b/gateway/admit.go
@@ -18,121 +18,133 @@
 )
 
 const (
-	// answerFactor times the usual time of an answer, and answerShare of a
-	// request's time at least, is kept for the answer: the rest may be spent
-	// waiting. One in a hundred answers takes four times the usual.
-	answerFactor = 4
-	answerShare  = 0.2
-	// delaySlack times its patience, and a request is turned away at once
-	// if the requests before it are expected to take longer. How many run at
-	// once changes by that much while it waits.
-	delaySlack = 3
-	// maxWaiting bounds the requests that wait for one service; it is above
-	// what one instance's callers send within the second or so that any of
-	// them waits.
+	// responseTimeFactor times the mean response time, and at least
+	// minResponseShare of a request's remaining time, is reserved for the
+	// response; the remainder may be spent waiting. One in a hundred responses
+	// takes four times the mean.
+	responseTimeFactor = 4
+	minResponseShare   = 0.2
+	// queueDelayFactor times its maximum wait is the queueing delay above which
+	// a request is rejected at once. The factor allows for the number of
+	// running requests to change that much while the request waits.
+	queueDelayFactor = 3
+	// maxWaiting bounds the requests waiting for one service. It is above the
+	// number that one instance's callers send within the second or so that a
+	// request waits.
 	maxWaiting = 2000
-	// maxPrograms bounds the programs that are remembered.
+	// maxPrograms bounds the programs whose state is cached.
 	maxPrograms = 1 << 14
 )
 
-// entrances hold requests back while the endpoints of their service have
-// more than they can do, so that the most urgent go first.
-type entrances struct {
+// serviceQueues holds the admission queue of each service and the state of
+// recent programs. Requests wait here while their service is overloaded, so
+// that the most urgent are sent first. It is safe for concurrent use.
+type serviceQueues struct {
 	clock clock.Clock
 
 	mu       sync.Mutex
-	services map[string]*entrance
+	services map[string]*serviceQueue
 	programs *simplelru.LRU[string, programState]
 }
 
-// programState is what is remembered of a program whose turns came here.
+// programState holds the cached state of a program whose turns were sent
+// through this instance.
 type programState struct {
-	// priority is that of its turns: the calls of its tools are as urgent as
-	// the program that waits for them.
+	// priority is the rank of the program's turns, where 0 is the highest.
+	// Calls to the program's tools get the same rank, because the program waits
+	// for them. started is set once a turn was served.
 	priority int
 	started  bool
 }
 
-// entrance is the way to one service.
-type entrance struct {
+// serviceQueue is the admission queue of one service.
+type serviceQueue struct {
+	// gate holds the waiting requests.
 	gate *admission.Gate[admission.InTime]
 
-	mu     sync.Mutex
+	mu sync.Mutex
+	// window determines how many requests gate lets run at once.
 	window *admission.Window
 }
 
-func newEntrances(clk clock.Clock) *entrances {
-	e := &entrances{clock: clk, services: map[string]*entrance{}}
-	// The size is a positive constant, the only thing NewLRU refuses.
-	e.programs, _ = simplelru.NewLRU[string, programState](maxPrograms, nil)
-	return e
+// newServiceQueues returns queues for no service and no program yet.
+func newServiceQueues(clk clock.Clock) *serviceQueues {
+	queues := &serviceQueues{clock: clk, services: map[string]*serviceQueue{}}
+	// NewLRU fails only for a size that is not positive.
+	queues.programs, _ = simplelru.NewLRU[string, programState](maxPrograms, nil)
+	return queues
 }
 
-func (entrances *entrances) of(service string) *entrance {
-	entrances.mu.Lock()
-	defer entrances.mu.Unlock()
-	e, ok := entrances.services[service]
+// entry returns the admission queue of a service, which it creates on first use.
+func (serviceQueues *serviceQueues) entry(service string) *serviceQueue {
+	serviceQueues.mu.Lock()
+	defer serviceQueues.mu.Unlock()
+	queue, ok := serviceQueues.services[service]
 	if !ok {
-		window := admission.NewWindow(entrances.clock)
+		window := admission.NewWindow(serviceQueues.clock)
 		limits := admission.Limits{Running: window.Size(), Waiting: maxWaiting, Urgent: 1}
-		e = &entrance{gate: admission.NewGate(admission.InTime{}, limits, entrances.clock), window: window}
-		entrances.services[service] = e
+		queue = &serviceQueue{gate: admission.NewGate(admission.InTime{}, limits, serviceQueues.clock), window: window}
+		serviceQueues.services[service] = queue
 	}
-	return e
+	return queue
 }
 
-// state returns the ways to all services, by name.
-func (entrances *entrances) state() []ServiceState {
-	entrances.mu.Lock()
-	defer entrances.mu.Unlock()
-	states := make([]ServiceState, 0, len(entrances.services))
-	for name, e := range entrances.services {
-		running, waiting, _ := e.gate.Stats()
-		states = append(states, ServiceState{Name: name, Running: running, Waiting: waiting, Window: e.gate.Limits().Running})
+// state returns the state of all admission queues, sorted by service name.
+func (serviceQueues *serviceQueues) state() []ServiceState {
+	serviceQueues.mu.Lock()
+	defer serviceQueues.mu.Unlock()
+	states := make([]ServiceState, 0, len(serviceQueues.services))
+	for name, queue := range serviceQueues.services {
+		running, waiting, _ := queue.gate.Stats()
+		states = append(states, ServiceState{Name: name, Running: running, Waiting: waiting, Window: queue.gate.Limits().Running})
 	}
 	slices.SortFunc(states, func(a, b ServiceState) int { return strings.Compare(a.Name, b.Name) })
 	return states
 }
 
-// program returns what is known of the program of a request with the
-// priority of its route. A program whose tools call has begun, whether or not
-// its turns came here.
-func (entrances *entrances) program(id string, priority int, isTurn bool) programState {
+// program returns the state of a program, given the priority of the request's
+// route. The program's priority is the highest of its turns and of this
+// request; a turn's result is cached. A program that calls a tool has started,
+// even if its turns were served by other instances.
+func (serviceQueues *serviceQueues) program(id string, priority int, isTurn bool) programState {
 	state := programState{priority: priority, started: !isTurn}
 	if id == "" {
 		return state
 	}
-	entrances.mu.Lock()
-	defer entrances.mu.Unlock()
-	known, ok := entrances.programs.Get(id)
+	serviceQueues.mu.Lock()
+	defer serviceQueues.mu.Unlock()
+	known, ok := serviceQueues.programs.Get(id)
 	if ok {
 		state.priority = min(state.priority, known.priority)
 		state.started = state.started || known.started
 	}
 	if isTurn {
-		entrances.programs.Add(id, programState{priority: state.priority, started: known.started})
+		serviceQueues.programs.Add(id, programState{priority: state.priority, started: known.started})
 	}
 	return state
 }
 
-// hasStarted reports whether a turn of the program was served here.
-func (entrances *entrances) hasStarted(program string) bool {
-	entrances.mu.Lock()
-	defer entrances.mu.Unlock()
-	known, _ := entrances.programs.Peek(program)
+// hasStarted reports whether this instance has served a turn of the program.
+func (serviceQueues *serviceQueues) hasStarted(program string) bool {
+	serviceQueues.mu.Lock()
+	defer serviceQueues.mu.Unlock()
+	known, _ := serviceQueues.programs.Peek(program)
 	return known.started
 }
 
-// started notes that a turn of the program was served.
-func (entrances *entrances) started(program string, priority int) {
-	entrances.mu.Lock()
-	defer entrances.mu.Unlock()
-	entrances.programs.Add(program, programState{priority: priority, started: true})
+// started records that this instance served a turn of the program.
+func (serviceQueues *serviceQueues) started(program string, priority int) {
+	serviceQueues.mu.Lock()
+	defer serviceQueues.mu.Unlock()
+	serviceQueues.programs.Add(program, programState{priority: priority, started: true})
 }
 
-// answered takes in what an endpoint's answer tells of its queue. One that
-// tells no load has a queue as long as its slots if it is full, else none.
-func (entrance *entrance) answered(verdict Verdict) {
+// recordResponse updates the service's window with the queue length that an
+// endpoint reports. An endpoint that reports no load is taken to have one slot,
+// and one waiting request if it rejected the request. The response of an
+// endpoint that the request was not meant for is ignored, unless it reports a
+// load.
+func (serviceQueue *serviceQueue) recordResponse(verdict Verdict) {
 	load := balance.Load{Slots: 1}
 	switch {
 	case verdict.Load != nil:
@@ -142,40 +154,42 @@
 	case verdict.NotRun:
 		load.Waiting = 1
 	}
-	running, waiting, _ := entrance.gate.Stats()
-	entrance.mu.Lock()
-	defer entrance.mu.Unlock()
-	entrance.window.Told(load.Waiting, load.Slots, running, waiting, entrance.gate.Usual())
-	entrance.gate.SetRunning(entrance.window.Size())
+	running, waiting, _ := serviceQueue.gate.Stats()
+	serviceQueue.mu.Lock()
+	defer serviceQueue.mu.Unlock()
+	serviceQueue.window.Told(load.Waiting, load.Slots, running, waiting, serviceQueue.gate.Usual())
+	serviceQueue.gate.SetRunning(serviceQueue.window.Size())
 }
 
-// patience returns how long a request may wait that has left time.
-func (entrance *entrance) patience(left time.Duration) time.Duration {
-	answer := max(answerFactor*entrance.gate.Usual(), time.Duration(answerShare*float64(left)))
-	return max(left-answer, 0)
+// maxWait returns how long a request with the given remaining time may wait in
+// the queue.
+func (serviceQueue *serviceQueue) maxWait(remaining time.Duration) time.Duration {
+	reserved := max(responseTimeFactor*serviceQueue.gate.Usual(), time.Duration(minResponseShare*float64(remaining)))
+	return max(remaining-reserved, 0)
 }
 
-// admit waits until the request may go to its service, and returns what
-// ends its stay there.
+// admit waits in the service's queue until the request may be sent, and returns
+// the function that releases its slot. It returns a *refusal if the queue
+// rejects the request or its time ends first.
 func (e *exchange) admit(ctx context.Context) (release func(), err error) {
-	e.entrance = e.entrances.of(e.service)
+	e.serviceQueue = e.serviceQueues.entry(e.service)
 	now := e.Clock.Now()
-	patience := e.entrance.patience(e.until.Sub(now))
-	of := e.entrances.program(e.program, route.Rank(e.organisation, e.route), e.spends())
-	e.priority = of.priority
-	ticket := admission.Ticket{Urgency: -of.priority, New: !of.started, Arrived: now, Deadline: now.Add(delaySlack * patience)}
+	maxWait := e.serviceQueue.maxWait(e.deadline.Sub(now))
+	entry := e.serviceQueues.program(e.program, route.Rank(e.organisation, e.route), e.spendsBudget())
+	e.priority = entry.priority
+	ticket := admission.Ticket{Urgency: -entry.priority, New: !entry.started, Arrived: now, Deadline: now.Add(queueDelayFactor * maxWait)}
 	if e.call.Finish > 0 {
 		ticket.Finish = e.arrived.Add(e.call.Finish)
 	}
 	ticket.Urgency = admission.InTime{}.Class(ticket.Urgency, &ticket)
-	waiting, cancel := context.WithTimeout(ctx, patience)
+	waiting, cancel := context.WithTimeout(ctx, maxWait)
 	defer cancel()
-	release, err = e.entrance.gate.Acquire(waiting, ticket)
-	e.queued = e.Clock.Now().Sub(now)
-	e.metrics.queue.RecordDuration(e.queued)
+	release, err = e.serviceQueue.gate.Acquire(waiting, ticket)
+	e.queueTime = e.Clock.Now().Sub(now)
+	e.metrics.queue.RecordDuration(e.queueTime)
 	var refused *admission.Error
 	if errors.As(err, &refused) {
-		return nil, e.orGone(ctx, refuse(ReasonEndpointsFull, http.StatusServiceUnavailable, max(refused.RetryAfter(), busyPause), err))
+		return nil, e.orEnded(ctx, refuse(ReasonEndpointsFull, http.StatusServiceUnavailable, max(refused.RetryAfter(), busyRetryAfter), err))
 	}
 	return release, nil
 }
--- a/gateway/call.go
+++ b/gateway/call.go
@@ -9,79 +9,84 @@
 	"github.com/wagtaildrum/wagtaildrum/route"
 )
 
-// Call is what a caller says of a request beside its path and body.
+// Call holds the request metadata decoded from a caller's headers.
 type Call struct {
-	// ID names this attempt of the request.
+	// ID identifies this attempt of the request.
 	ID string
-	// Key is the organisation's that the caller showed; zero if none.
+	// Key is the organisation's key; the zero value if the caller sent none.
 	Key route.Key
-	// Deadline is how long the caller waits; 0 if it does not say.
+	// Deadline is how long the caller waits for the response; 0 if not
+	// specified.
 	Deadline time.Duration
-	// Program is the program that the request belongs to, Session its line
-	// of turns; empty for a request of no program.
+	// Program is the program that the request belongs to, and Session the
+	// sequence of turns within it. Both are empty for a request of no program.
 	Program, Session string
-	// Finish is how long until the program should be finished; 0 if
-	// unknown.
+	// Finish is the time in which the program should finish; 0 if unknown.
 	Finish time.Duration
-	// Budget is what all turns of the program may generate, in tokens; 0
-	// if the request is no turn.
+	// Budget is the number of tokens that all turns of the program may
+	// generate; 0 if the request is not a turn.
 	Budget int64
-	// PromptTokens and MaxTokens are the prompt's size and the most the
-	// turn generates.
+	// PromptTokens is the size of the prompt, and MaxTokens the maximum that
+	// the turn may generate.
 	PromptTokens, MaxTokens int64
-	// Previous is the turn that this one continues; empty for the first.
+	// Previous is the ID of the turn that this one continues; empty for the
+	// first turn.
 	Previous string
-	// Parts are the parts of the prompt, in order.
+	// Parts are the segments of the prompt, in order.
 	Parts []balance.Part
 }
 
-// BadCallError is a request whose headers cannot be understood.
+// BadCallError is returned when a caller's header cannot be parsed.
 type BadCallError struct {
 	header, value string
 }
 
-// NewBadCallError returns the error of a header's value.
+// NewBadCallError returns an error for the named header and its value.
 func NewBadCallError(header, value string) *BadCallError {
 	return &BadCallError{header: header, value: value}
 }
 
-// Error names the header and its value.
+// Error returns the header's name and its value.
 func (e *BadCallError) Error() string {
 	return fmt.Sprintf("header %s: bad value %q", e.header, e.value)
 }
 
-// Send is what the system tells an endpoint beside the caller's headers.
+// Send holds the metadata that the gateway adds to a request for an endpoint.
 type Send struct {
-	// Endpoint is the ID that the endpoint must have to run the request.
+	// Endpoint is the ID of the intended endpoint; any other one must reject
+	// the request.
 	Endpoint string
-	// Organisation is the name of the caller's; empty if it showed no key.
+	// Organisation is the name of the caller's organisation; empty if the
+	// caller sent no key.
 	Organisation string
-	// Deadline is what is left for the endpoint.
+	// Deadline is the time remaining for the endpoint's response.
 	Deadline time.Duration
 }
 
-// Verdict is what an endpoint's answer says beside status and body.
+// Verdict holds the metadata decoded from an endpoint's response.
 type Verdict struct {
-	// NotRun: the endpoint did not run the request and never will.
+	// NotRun is set if the endpoint did not run the request and never will.
 	NotRun bool
-	// Misdirected: the address belongs to another endpoint now.
+	// Misdirected is set if the address now belongs to another endpoint.
 	Misdirected bool
-	// Stamped: the answer is an endpoint's own.
+	// Stamped is set if the response carries an endpoint's stamp. A response
+	// without one was not produced by an endpoint.
 	Stamped bool
-	// Load is what the endpoint tells of itself, nil if nothing.
+	// Load is the load that the endpoint reports; nil if it reports none.
 	Load *balance.Load
 }
 
-// Dialect translates the headers of callers and endpoints.
+// Dialect translates between HTTP headers and request metadata.
 type Dialect interface {
-	// Decode reads a caller's headers. It returns a *BadCallError if they
-	// cannot be understood.
+	// Decode returns the metadata in a caller's headers, or a *BadCallError if
+	// they are malformed.
 	Decode(header http.Header) (*Call, error)
-	// Prepare changes a copy of a caller's headers into those for an
-	// endpoint, without what only the system may say.
+	// Prepare changes a copy of a caller's headers into those for an endpoint.
+	// It removes headers that only the gateway may set.
 	Prepare(header http.Header, send Send)
-	// Verdict reads an endpoint's answer.
+	// Verdict returns the metadata of an endpoint's response.
 	Verdict(status int, header http.Header) Verdict
-	// IDHeader names the header that carries a request's ID both ways.
+	// IDHeader returns the name of the header that carries the request ID in
+	// both requests and responses.
 	IDHeader() string
 }
--- a/gateway/conn.go
+++ b/gateway/conn.go
@@ -9,53 +9,57 @@
 	"time"
 )
 
-// notRun is the answer on a connection that a stop closes. A caller without a
-// request takes it for the close that it announces.
-const notRun = "HTTP/1.1 408 Request Timeout\r\nConnection: close\r\nContent-Length: 0\r\n\r\n"
-
-// callerConn is a caller's connection that knows whether a request may be
-// on its way. The server's own states do not tell: between the first byte
-// of a request and its whole head a connection counts as idle, and closing
-// it then loses a request that was taken.
+// notRunResponse is sent on a connection that a stopping server closes. A
+// caller with no request outstanding reads it as a plain announcement of the
+// close.
+const notRunResponse = "HTTP/1.1 408 Request Timeout\r\nConnection: close\r\nContent-Length: 0\r\n\r\n"
+
+// callerConn is a caller's connection that tracks whether a request may be in
+// transit. http.ConnState is not sufficient: from a request's first byte until
+// its head is complete, http.Server counts the connection as idle, and closing
+// it then loses a request whose bytes were read.
 type callerConn struct {
 	net.Conn
 	server *Server
 
 	mu sync.Mutex
-	// busy: a request is served, or bytes came since the last answer ended.
-	// read: they came after the last write.
-	busy, read, closed bool
-	// since is when the connection was taken, its last answer ended, or it
-	// was closed.
+	// busy is set while a request is served, or if bytes arrived since the last
+	// response ended. readSinceWrite is set if bytes arrived since the last
+	// write. closed is set once closeIfIdle closed the connection.
+	busy, readSinceWrite, closed bool
+	// since is when the connection was accepted, its last response ended, or
+	// closeIfIdle closed it.
 	since time.Time
-	// late counts the bytes that came after the connection was closed.
+	// late counts the bytes that arrived after closeIfIdle closed the
+	// connection.
 	late int
 }
 
-// connKey is the key of a request's connection in its context.
+// connKey is the context key of a request's *callerConn.
 type connKey struct{}
 
+// withConn returns a context that carries a request's connection.
 func withConn(ctx context.Context, conn net.Conn) context.Context {
 	return context.WithValue(ctx, connKey{}, conn)
 }
 
-// notingBegin returns handler with the beginning of each request noted at its
-// connection.
-func notingBegin(handler http.Handler) http.Handler {
+// trackRequests returns a handler that marks a request's connection as busy
+// before calling handler.
+func trackRequests(handler http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if conn, ok := r.Context().Value(connKey{}).(*callerConn); ok {
-			conn.begin()
+			conn.requestStarted()
 		}
 		handler.ServeHTTP(w, r)
 	})
 }
 
-// Read implements net.Conn. Once a stop has closed the connection, what comes
-// is thrown away until the caller has closed it, too.
+// Read implements net.Conn. After closeIfIdle closed the connection, Read
+// discards data until the caller closes it too.
 func (conn *callerConn) Read(p []byte) (int, error) {
 	for {
 		n, err := conn.Conn.Read(p)
-		if !conn.took(n) {
+		if !conn.recordRead(n) {
 			return n, err
 		}
 		if err != nil {
@@ -64,15 +68,16 @@
 	}
 }
 
-// took notes that n bytes came, and reports whether that was too late.
-func (conn *callerConn) took(n int) (late bool) {
+// recordRead records that n bytes arrived, and reports whether closeIfIdle had
+// closed the connection before.
+func (conn *callerConn) recordRead(n int) (late bool) {
 	conn.mu.Lock()
 	defer conn.mu.Unlock()
 	if n == 0 || !conn.closed {
-		conn.busy, conn.read = conn.busy || n > 0, conn.read || n > 0
+		conn.busy, conn.readSinceWrite = conn.busy || n > 0, conn.readSinceWrite || n > 0
 		return conn.closed
 	}
-	conn.server.cameLate(conn, n, conn.late == 0, time.Since(conn.since))
+	conn.server.recordLateBytes(conn, n, conn.late == 0, time.Since(conn.since))
 	conn.late += n
 	return true
 }
@@ -80,7 +85,7 @@
 // Write implements net.Conn.
 func (conn *callerConn) Write(p []byte) (int, error) {
 	conn.mu.Lock()
-	conn.read = false
+	conn.readSinceWrite = false
 	conn.mu.Unlock()
 	return conn.Conn.Write(p)
 }
@@ -88,38 +93,41 @@
 // Close implements net.Conn.
 func (conn *callerConn) Close() error {
 	conn.mu.Lock()
-	unanswered := conn.read && !conn.closed
+	unanswered := conn.readSinceWrite && !conn.closed
 	conn.mu.Unlock()
-	conn.server.ended(conn, unanswered)
+	conn.server.connClosed(conn, unanswered)
 	return conn.Conn.Close()
 }
 
-// CloseWrite ends the connection's own direction, so that an answer that
-// ends a connection arrives whole.
+// CloseWrite shuts down the write side. net/http calls it before closing a
+// connection, so that the caller receives the complete response.
 func (conn *callerConn) CloseWrite() error {
 	if half, ok := conn.Conn.(interface{ CloseWrite() error }); ok {
 		return half.CloseWrite()
 	}
-	return nil // a pipe, which has no halves
+	return nil // net.Pipe connections have no half-close
 }
 
-// begin notes that a request is served. Its bytes may have come together with
-// those of the request before, which the reads do not tell.
-func (conn *callerConn) begin() {
+// requestStarted marks the connection as busy. A pipelined request may have
+// arrived in the same read as the previous one, so counting reads is not
+// sufficient.
+func (conn *callerConn) requestStarted() {
 	conn.mu.Lock()
 	defer conn.mu.Unlock()
 	conn.busy = true
 }
 
-// rest notes that an answer ended.
-func (conn *callerConn) rest() {
+// responseEnded records the end of a response. The connection stays busy if
+// bytes arrived since the last write.
+func (conn *callerConn) responseEnded() {
 	conn.mu.Lock()
 	defer conn.mu.Unlock()
-	conn.busy = conn.read
+	conn.busy = conn.readSinceWrite
 	conn.since = time.Now()
 }
 
-// SetReadDeadline implements net.Conn. That of a closed connection stays.
+// SetReadDeadline implements net.Conn. It does nothing once closeIfIdle has
+// closed the connection, which keeps lingerTimeout in force.
 func (conn *callerConn) SetReadDeadline(t time.Time) error {
 	conn.mu.Lock()
 	defer conn.mu.Unlock()
@@ -129,30 +137,29 @@
 	return conn.Conn.SetReadDeadline(t)
 }
 
-// closeIfQuiet closes the connection unless a request may be on its way, or
-// it was closed before.
-func (conn *callerConn) closeIfQuiet() {
+// closeIfIdle closes the connection unless a request may be in transit or it
+// was closed before.
+func (conn *callerConn) closeIfIdle() {
 	conn.mu.Lock()
 	defer conn.mu.Unlock()
-	if conn.busy || conn.closed || time.Since(conn.since) < quietTime {
+	if conn.busy || conn.closed || time.Since(conn.since) < minIdleTime {
 		return
 	}
 	conn.closed, conn.since = true, time.Now()
-	conn.server.closedQuiet()
-	conn.answerNotRun()
+	conn.server.recordIdleClose()
+	conn.writeNotRun()
 }
 
-// answerNotRun closes the own direction with an answer that promises that
-// whatever the caller has sent, or sends before it learns of the close, does
-// not run. Without it the caller of a request that crosses the close cannot
-// know that, and must not send one again that is not idempotent. Reading ends,
-// and the connection with it, when the caller closes it, or after
-// lingerTime: closed earlier, the connection would be reset by a request that
-// comes late, and the answer could be lost with it.
-func (conn *callerConn) answerNotRun() {
-	_ = conn.Conn.SetReadDeadline(conn.since.Add(lingerTime))
+// writeNotRun sends notRunResponse and shuts down the write side. The response
+// guarantees that no request in transit will run; without it, a caller whose
+// request crosses the close could not tell, and must not retry a request that
+// is not idempotent. Reading continues until the caller closes the connection,
+// or for lingerTimeout: closing earlier would let a late request reset the
+// connection, and the response could be lost.
+func (conn *callerConn) writeNotRun() {
+	_ = conn.Conn.SetReadDeadline(conn.since.Add(lingerTimeout))
 	_ = conn.SetWriteDeadline(conn.since.Add(stopPoll))
-	_, err := io.WriteString(conn.Conn, notRun)
+	_, err := io.WriteString(conn.Conn, notRunResponse)
 	if err == nil {
 		err = conn.CloseWrite()
 	}
--- /dev/null
+++ b/gateway/dispatch.go
@@ -0,0 +1,204 @@
+package gateway
+
+import (
+	"bytes"
+	"context"
+	"errors"
+	"io"
+	"net/http"
+	"net/textproto"
+	"slices"
+	"strconv"
+	"strings"
+
+	"github.com/wagtaildrum/wagtaildrum/balance"
+	"github.com/wagtaildrum/wagtaildrum/route"
+	"github.com/wagtaildrum/wagtaildrum/upstream"
+)
+
+const (
+	// maxEndpointsTried bounds how many endpoints receive one request if each
+	// rejects it or fails.
+	maxEndpointsTried = 4
+	// maxBufferedBody is how much of a plain response is read before any of it
+	// is relayed. A response that breaks off within this size is detected and
+	// can be retried.
+	maxBufferedBody = 1 << 20
+	// lastEventHeader names the event after which a stream resumes.
+	lastEventHeader = "Last-Event-Id"
+)
+
+// hopByHopHeaders concern a single connection and are not forwarded.
+var hopByHopHeaders = []string{"Connection", "Keep-Alive", "Proxy-Connection", "Proxy-Authenticate", "Proxy-Authorization", "Te", "Trailer", "Transfer-Encoding", "Upgrade"}
+
+// errUnstamped is the error for a response that no endpoint produced.
+var errUnstamped = errors.New("response has no endpoint stamp")
+
+// errNotResumed is the error for a failure response where the remainder of a
+// stream was requested.
+var errNotResumed = errors.New("endpoint did not resume the stream")
+
+// dispatch sends the request to one endpoint after another until one serves it.
+// It returns a *refusal if no further endpoint may be tried.
+func (e *exchange) dispatch(ctx context.Context) error {
+	request := e.balanceRequest()
+	for len(e.tried) < maxEndpointsTried {
+		choice := e.Picker.Pick(e.Endpoints.Service(e.service), request, func(id string) bool { return slices.Contains(e.tried, id) })
+		if choice == nil {
+			break
+		}
+		e.tried, e.incarnation = append(e.tried, choice.Endpoint().ID), choice.Endpoint().Incarnation()
+		outcome, err := e.try(ctx, choice)
+		choice.Done(outcome)
+		if outcome == balance.OutcomeServed || outcome == balance.OutcomeFailed {
+			return nil
+		}
+		e.lastError = err
+		var rejection *refusal
+		if errors.As(err, &rejection) && e.r.Context().Err() == nil {
+			return rejection
+		}
+		if gone := e.orEnded(ctx, nil); gone != nil {
+			return gone
+		}
+		if outcome == balance.OutcomeAbandoned {
+			return refuse(ReasonCallerGone, http.StatusBadGateway, 0, err)
+		}
+		if outcome == balance.OutcomeBroken && (!e.route.Repeatable() || e.runs >= e.route.Attempts) {
+			return refuse(ReasonEndpointFailed, http.StatusBadGateway, 0, err)
+		}
+	}
+	switch {
+	case e.runs > 0 || e.firstResponse != nil:
+		return refuse(ReasonEndpointFailed, http.StatusBadGateway, 0, e.lastError)
+	case len(e.tried) == 0:
+		return refuse(ReasonNoEndpoint, http.StatusServiceUnavailable, busyRetryAfter, nil)
+	default:
+		return refuse(ReasonEndpointsFull, http.StatusServiceUnavailable, busyRetryAfter, e.lastError)
+	}
+}
+
+// try sends the request to one endpoint and relays its response. It returns the
+// outcome for the picker, and an error unless the outcome is OutcomeServed or
+// OutcomeFailed.
+func (e *exchange) try(ctx context.Context, choice *balance.Choice) (balance.Outcome, error) {
+	e.metrics.sends.Inc(1)
+	response, err := e.Upstream.Do(ctx, e.upstreamRequest(choice))
+	if err != nil {
+		return e.failureOutcome(ctx, err)
+	}
+	defer response.Close()
+	verdict := e.Dialect.Verdict(response.Status, response.Header)
+	if verdict.Load != nil {
+		choice.Told(*verdict.Load)
+	}
+	e.serviceQueue.recordResponse(verdict)
+	switch {
+	case verdict.Misdirected:
+		return balance.OutcomeUnreachable, errors.New("endpoint address now belongs to another endpoint")
+	case verdict.NotRun:
+		return balance.OutcomeRefused, errors.New("request was not run by the endpoint: status " + strconv.Itoa(response.Status))
+	}
+	choice.Answered()
+	e.runs++
+	if !verdict.Stamped {
+		return balance.OutcomeBroken, errUnstamped
+	}
+	if e.firstResponse != nil && response.Status != http.StatusOK {
+		return balance.OutcomeBroken, errNotResumed
+	}
+	if e.route.Kind == route.KindStream && response.Status == http.StatusOK {
+		return e.relayStream(ctx, response)
+	}
+	return e.relayBuffered(ctx, response)
+}
+
+// failureOutcome returns the outcome of a request that got no response. The
+// request certainly did not run only if the connection failed before a byte was
+// sent.
+func (e *exchange) failureOutcome(ctx context.Context, err error) (balance.Outcome, error) {
+	var ue *upstream.Error
+	if errors.As(err, &ue) && ue.Stage() == upstream.StageConnect {
+		if ctx.Err() != nil {
+			return balance.OutcomeAbandoned, err
+		}
+		return balance.OutcomeUnreachable, err
+	}
+	e.runs++
+	if ctx.Err() != nil {
+		return balance.OutcomeAbandoned, err
+	}
+	return balance.OutcomeBroken, err
+}
+
+// upstreamRequest returns the request to send to the chosen endpoint. It carries
+// the ID of the last event received if the stream is to be resumed.
+func (e *exchange) upstreamRequest(choice *balance.Choice) *upstream.Request {
+	header := endToEndHeaders(e.r.Header)
+	header.Del("Content-Length")
+	header.Del("Expect")
+	if e.lastEventID != "" {
+		header.Set(lastEventHeader, e.lastEventID)
+	}
+	e.Dialect.Prepare(header, Send{Endpoint: choice.Endpoint().ID, Organisation: e.organisationName(), Deadline: e.deadline.Sub(e.Clock.Now())})
+	return &upstream.Request{
+		Address: choice.Endpoint().Address, Method: e.r.Method, Target: e.r.RequestURI, Host: e.r.Host, Header: header,
+		Body: e.prompt, HasBody: e.r.ContentLength != 0, IDHeader: e.Dialect.IDHeader(),
+	}
+}
+
+// endToEndHeaders returns a copy of header without hop-by-hop headers.
+func endToEndHeaders(header http.Header) http.Header {
+	out := header.Clone()
+	for _, value := range header.Values("Connection") {
+		for name := range strings.SplitSeq(value, ",") {
+			out.Del(textproto.TrimString(name))
+		}
+	}
+	for _, name := range hopByHopHeaders {
+		out.Del(name)
+	}
+	return out
+}
+
+// writeHead sends the caller the status and headers of an endpoint's response.
+// A negative length omits the Content-Length header.
+func (e *exchange) writeHead(response *upstream.Response, length int) {
+	header := e.w.Header()
+	for name, values := range endToEndHeaders(response.Header) {
+		header[name] = values
+	}
+	header.Del("Content-Length")
+	if length >= 0 {
+		header.Set("Content-Length", strconv.Itoa(length))
+	}
+	e.setConnectionClose()
+	e.headWritten, e.status = true, response.Status
+	e.w.WriteHeader(response.Status)
+}
+
+// relayBuffered relays a plain response. A body of at most maxBufferedBody is
+// read completely first; a longer one is then streamed.
+func (e *exchange) relayBuffered(ctx context.Context, response *upstream.Response) (balance.Outcome, error) {
+	body, err := io.ReadAll(io.LimitReader(response.Body, maxBufferedBody+1))
+	if err != nil {
+		if ctx.Err() != nil {
+			return balance.OutcomeAbandoned, err
+		}
+		return balance.OutcomeBroken, err
+	}
+	outcome := balance.OutcomeServed
+	if response.Status >= http.StatusInternalServerError {
+		outcome = balance.OutcomeFailed
+	}
+	if len(body) <= maxBufferedBody {
+		e.writeHead(response, len(body))
+		_, _ = e.w.Write(body) // the caller may be gone; the request has run
+		return outcome, nil
+	}
+	e.writeHead(response, -1)
+	if _, err := io.Copy(e.w, io.MultiReader(bytes.NewReader(body), response.Body)); err != nil {
+		return balance.OutcomeBroken, err
+	}
+	return outcome, nil
+}
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -17,9 +17,9 @@
 	"github.com/wagtaildrum/wagtaildrum/upstream"
 )
 
-// Parts are what a gateway works with.
+// Parts holds the dependencies and settings of a Gateway.
 type Parts struct {
-	// Instance is the name that other instances know this one by.
+	// Instance is this instance's name in the directory of instances.
 	Instance   string
 	DataCentre string
 	Dialect    Dialect
@@ -30,55 +30,58 @@
 	Accounts   *account.Keeper
 	Archive    *archive.Archive
 	Durability Durability
-	// Quotas bounds the requests of organisations.
+	// Quotas limits the request rate of each organisation.
 	Quotas *quota.Limiter
-	// BodyBytes is the memory for the bodies of all requests under way; 0
-	// is no limit.
+	// BodyBytes bounds the memory for the bodies and prompts of all requests in
+	// flight, in bytes; 0 means no limit.
 	BodyBytes int64
 	Clock     clock.Clock
 	Log       *slog.Logger
 	Metrics   tally.Scope
 }
 
-// Durability tells how the durable store can be reached.
+// Durability reports the state of the connection to the durable store.
 type Durability interface {
-	// Away reports whether the store cannot be reached in any way.
+	// Away reports whether the store is unavailable by every path.
 	Away() bool
-	// Slow reports whether the store serves calls later than usual, or not at
-	// all for the moment.
+	// Slow reports whether calls to the store take longer than usual or
+	// currently get no response.
 	Slow() bool
-	// Isolated reports whether other instances cannot be reached either:
-	// then they may well reach the store.
+	// Isolated reports whether the other instances are unreachable too, in
+	// which case they may still reach the store.
 	Isolated() bool
 }
 
-// Gateway serves callers. It implements http.Handler.
+// Gateway is an http.Handler that serves callers' requests. It is safe for
+// concurrent use.
 type Gateway struct {
 	Parts
-	metrics   metrics
-	entrances *entrances
-	draining  atomic.Bool
-	inFlight  atomic.Int64
-	// bodies is the memory that bodies take, in bytes.
-	bodies atomic.Int64
+	metrics       metrics
+	serviceQueues *serviceQueues
+	draining      atomic.Bool
+	inFlight      atomic.Int64
+	// bodyMemory is the number of bytes reserved for bodies and prompts of the
+	// requests in flight.
+	bodyMemory atomic.Int64
 }
 
+// metrics holds the metrics of a Gateway; refused is indexed by Reason.
 type metrics struct {
-	requests, served, failed, sends, resumed                 tally.Counter
-	refused                                                  [ReasonNoMemory + 1]tally.Counter
-	latency, firstEvent, reserve, extend, keep, queue, quota tally.Histogram
+	requests, served, failed, sends, resumed                      tally.Counter
+	refused                                                       [ReasonNoMemory + 1]tally.Counter
+	latency, firstEvent, reserve, extend, storeTurn, queue, quota tally.Histogram
 }
 
-// New returns a gateway of parts.
-func New(parts Parts) *Gateway {
-	gateway := &Gateway{Parts: parts, entrances: newEntrances(parts.Clock)}
-	scope := parts.Metrics
-	buckets := tally.MustMakeExponentialDurationBuckets(latencyLowest, latencyFactor, latencyBuckets)
+// New returns a Gateway that uses the given parts.
+func New(config Parts) *Gateway {
+	gateway := &Gateway{Parts: config, serviceQueues: newServiceQueues(config.Clock)}
+	scope := config.Metrics
+	buckets := tally.MustMakeExponentialDurationBuckets(minLatency, latencyFactor, latencyBuckets)
 	gateway.metrics = metrics{
 		requests: scope.Counter("requests"), served: scope.Counter("served"), failed: scope.Counter("failed"),
 		sends: scope.Counter("sends"), resumed: scope.Counter("resumed"),
 		latency: scope.Histogram("request_seconds", buckets), firstEvent: scope.Histogram("first_event_seconds", buckets),
-		reserve: scope.Histogram("budget_seconds", buckets), extend: scope.Histogram("budget_extend_seconds", buckets), keep: scope.Histogram("keep_turn_seconds", buckets), queue: scope.Histogram("queue_seconds", buckets), quota: scope.Histogram("quota_seconds", buckets),
+		reserve: scope.Histogram("budget_seconds", buckets), extend: scope.Histogram("budget_extend_seconds", buckets), storeTurn: scope.Histogram("keep_turn_seconds", buckets), queue: scope.Histogram("queue_seconds", buckets), quota: scope.Histogram("quota_seconds", buckets),
 	}
 	for reason := range gateway.metrics.refused {
 		gateway.metrics.refused[reason] = scope.Tagged(map[string]string{"reason": Reason(reason).String()}).Counter("refused")
@@ -86,25 +89,28 @@
 	return gateway
 }
 
-// Ready reports whether new callers should come here. An instance that is
-// cut off from the store and from the other instances sends them elsewhere.
+// Ready reports whether this instance should receive new callers. It returns
+// false while the instance drains, before the configuration and the list of
+// endpoints are loaded, and while the instance is partitioned.
 func (gateway *Gateway) Ready() bool {
-	return !gateway.draining.Load() && gateway.Routes.Load() != nil && gateway.Endpoints.Known() && !gateway.cutOff()
+	return !gateway.draining.Load() && gateway.Routes.Load() != nil && gateway.Endpoints.Known() && !gateway.partitioned()
 }
 
-// cutOff reports whether other instances can do what this one cannot.
-func (gateway *Gateway) cutOff() bool {
+// partitioned reports whether neither the store nor any other instance is
+// reachable. Other instances may still be able to serve what this one cannot.
+func (gateway *Gateway) partitioned() bool {
 	return gateway.Durability.Away() && gateway.Durability.Isolated()
 }
 
-// Drain makes the gateway not ready, and has each answer end its
+// Drain makes Ready return false and makes every further response close its
 // connection.
 func (gateway *Gateway) Drain() { gateway.draining.Store(true) }
 
-// InFlight returns how many requests are being served.
+// InFlight returns the number of requests being served.
 func (gateway *Gateway) InFlight() int64 { return gateway.inFlight.Load() }
 
-// ReadyHandler answers 200 while the gateway is ready and 503 otherwise.
+// ReadyHandler returns a handler that responds 200 while the gateway is ready
+// and 503 otherwise.
 func (gateway *Gateway) ReadyHandler() http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		if gateway.Ready() {
@@ -115,7 +121,7 @@
 	})
 }
 
-// State is the gateway's part of a state dump.
+// State holds the gateway's section of a state dump.
 type State struct {
 	Ready         bool           `json:"ready"`
 	Draining      bool           `json:"draining"`
@@ -128,19 +134,19 @@
 	Services      []ServiceState `json:"services"`
 }
 
-// ServiceState is what a state dump tells of the way to one service.
+// ServiceState describes the admission queue of one service in a state dump.
 type ServiceState struct {
 	Name    string `json:"name"`
 	Running int    `json:"running"`
 	Waiting int    `json:"waiting"`
-	// Window is how many requests may run at once.
+	// Window is the maximum number of requests running at once.
 	Window int `json:"window"`
 }
 
-// State returns the state dump.
+// State returns the gateway's section of a state dump, of type State.
 func (gateway *Gateway) State() any {
 	state := State{Ready: gateway.Ready(), Draining: gateway.draining.Load(), Endpoints: gateway.Endpoints.Len(),
-		InFlight: gateway.InFlight(), Programs: gateway.Accounts.Len(), Load: gateway.Picker.Views(), Services: gateway.entrances.state()}
+		InFlight: gateway.InFlight(), Programs: gateway.Accounts.Len(), Load: gateway.Picker.Views(), Services: gateway.serviceQueues.state()}
 	if table := gateway.Routes.Load(); table != nil {
 		state.Configuration, state.Routes = table.Version(), table.Routes()
 	}
--- a/gateway/link_test.go
+++ b/gateway/link_test.go
@@ -9,60 +9,62 @@
 	"time"
 )
 
-// packet is what is on its way on a link; no data is the end of a direction.
+// packet is data in transit on a link; nil data closes the direction.
 type packet struct {
 	due  time.Time
 	data []byte
 }
 
-// linkPackets may be on their way at once in one direction: more than any
-// test sends.
-const linkPackets = 64
+// maxPacketsInTransit bounds the packets in transit in one direction. It
+// exceeds what any test sends.
+const maxPacketsInTransit = 64
 
-// linkConn is one end of a connection over which everything takes a way, as
-// between machines. Data that comes to an end that is closed resets the other.
+// linkConn is one end of a simulated network connection with latency. Data that
+// arrives at a closed end resets the connection.
 type linkConn struct {
-	net.Conn // what arrives here
-	feed     net.Conn
-	out      chan packet
-	way      time.Duration
-	peer     *linkConn
-	ended    atomic.Bool
-	reset    atomic.Bool
+	net.Conn    // the read side
+	inbound     net.Conn
+	out         chan packet
+	latency     time.Duration
+	peer        *linkConn
+	writeClosed atomic.Bool
+	reset       atomic.Bool
 }
 
-// newLink returns both ends.
-func newLink(way time.Duration) (near, far *linkConn) {
-	near, far = newLinkConn(way), newLinkConn(way)
+// newLink returns both ends of a new connection.
+func newLink(latency time.Duration) (near, far *linkConn) {
+	near, far = newLinkConn(latency), newLinkConn(latency)
 	near.peer, far.peer = far, near
-	go near.carry()
-	go far.carry()
+	go near.deliver()
+	go far.deliver()
 	return near, far
 }
 
-func newLinkConn(way time.Duration) *linkConn {
-	here, feed := net.Pipe()
-	return &linkConn{Conn: here, feed: feed, out: make(chan packet, linkPackets), way: way}
+// newLinkConn returns one end, without a peer yet.
+func newLinkConn(latency time.Duration) *linkConn {
+	here, inbound := net.Pipe()
+	return &linkConn{Conn: here, inbound: inbound, out: make(chan packet, maxPacketsInTransit), latency: latency}
 }
 
-// carry brings what was written to the other end, until the end of the
-// direction.
-func (conn *linkConn) carry() {
+// deliver passes written packets to the other end, each after its latency,
+// until this end's write side is closed.
+func (conn *linkConn) deliver() {
 	for p := range conn.out {
 		time.Sleep(time.Until(p.due))
 		if p.data == nil {
-			_ = conn.peer.feed.Close()
+			_ = conn.peer.inbound.Close()
 			return
 		}
-		if _, err := conn.peer.feed.Write(p.data); err != nil {
-			time.Sleep(conn.way)
+		if _, err := conn.peer.inbound.Write(p.data); err != nil {
+			time.Sleep(conn.latency)
 			conn.reset.Store(true)
 			_ = conn.Conn.Close()
 		}
 	}
 }
 
-// Read implements net.Conn.
+// Read implements net.Conn. It returns ECONNRESET once the connection was
+// reset.
 func (conn *linkConn) Read(p []byte) (int, error) {
 	n, err := conn.Conn.Read(p)
 	if err != nil && conn.reset.Load() {
@@ -73,17 +75,17 @@
 
 // Write implements net.Conn.
 func (conn *linkConn) Write(p []byte) (int, error) {
-	if conn.ended.Load() {
+	if conn.writeClosed.Load() {
 		return 0, io.ErrClosedPipe
 	}
-	conn.out <- packet{due: time.Now().Add(conn.way), data: bytes.Clone(p)}
+	conn.out <- packet{due: time.Now().Add(conn.latency), data: bytes.Clone(p)}
 	return len(p), nil
 }
 
-// CloseWrite ends the own direction.
+// CloseWrite closes the write side.
 func (conn *linkConn) CloseWrite() error {
-	if !conn.ended.Swap(true) {
-		conn.out <- packet{due: time.Now().Add(conn.way)}
+	if !conn.writeClosed.Swap(true) {
+		conn.out <- packet{due: time.Now().Add(conn.latency)}
 	}
 	return nil
 }
@@ -97,12 +99,13 @@
 // SetDeadline implements net.Conn.
 func (conn *linkConn) SetDeadline(t time.Time) error { return conn.SetReadDeadline(t) }
 
-// SetWriteDeadline implements net.Conn: writing never blocks.
+// SetWriteDeadline implements net.Conn. It does nothing, because writes never
+// block.
 func (conn *linkConn) SetWriteDeadline(time.Time) error { return nil }
 
-// dialFar connects from a machine that is a way off.
-func (listener *pipeListener) dialFar(way time.Duration) *linkConn {
-	near, far := newLink(way)
+// dialWithLatency connects to the listener over a link with the given latency.
+func (listener *pipeListener) dialWithLatency(latency time.Duration) *linkConn {
+	near, far := newLink(latency)
 	listener.conns <- far
 	return near
 }
--- a/gateway/listener.go
+++ b/gateway/listener.go
@@ -13,62 +13,68 @@
 )
 
 const (
-	// noticeTime is how long a stopping instance still takes connections:
-	// the balancer asks for readiness each second and takes two misses to
-	// send callers elsewhere.
-	noticeTime = 3 * time.Second
-	// quietTime is how long nothing may have come on a connection before a
-	// stopping instance closes it: a caller that has just connected, or just
-	// got an answer, may have sent a request that is not here yet. It covers a
-	// way of 50 ms and as much again for a busy machine to read it.
-	quietTime = 200 * time.Millisecond
-	// lingerTime is how long a connection is still read after that: a request
-	// that was sent before the caller learned of the close is here after a
-	// way there and one back, of 50 ms each, and as much again for busy
-	// machines.
-	lingerTime = 200 * time.Millisecond
-	// stopMargin before the kill, what is still in flight is given up.
+	// balancerDelay is how long a stopping instance still accepts connections.
+	// The load balancer polls readiness every second and takes two failures to
+	// redirect callers.
+	balancerDelay = 3 * time.Second
+	// minIdleTime is how long a connection must be without traffic before a
+	// stopping instance closes it, since a caller that has just connected or
+	// received a response may have sent a request that has not arrived yet. It
+	// covers a network latency of 50 ms and the same again until a busy machine
+	// reads the request.
+	minIdleTime = 200 * time.Millisecond
+	// lingerTimeout is how long a closed connection is still read. A request
+	// sent before the caller received the close arrives within a round trip of
+	// twice 50 ms; the same again allows for busy machines.
+	lingerTimeout = 200 * time.Millisecond
+	// stopMargin is how long before the process is killed the server abandons
+	// requests in flight.
 	stopMargin = 500 * time.Millisecond
-	// stopPoll is how often a stopping instance looks whether it is done.
+	// stopPoll is the interval at which a stopping server checks whether all
+	// connections are closed, and the time to write notRunResponse.
 	stopPoll = 50 * time.Millisecond
-	// headTimeout and idleTimeout are above what configurations give
-	// callers for a request's head and between requests.
+	// headTimeout and idleTimeout exceed the time that configurations allow
+	// callers to send a request's head and between requests.
 	headTimeout = 20 * time.Second
 	idleTimeout = 60 * time.Second
-	// lateLines bounds the lines of a stop about requests that came too late, and
-	// those about requests without an answer, so that those of what it cut stand
-	// in the same log.
-	lateLines = 20
-	// lateAccept is the time before the listener's close whose new connections are
-	// counted: there are none once the balancer sends callers elsewhere.
-	lateAccept = time.Second
-	// maxHead bounds a request's head, in bytes.
-	maxHead = 64 << 10
+	// maxLateLogLines bounds the log lines of one stop about late requests, and
+	// separately those about unanswered requests, so that the lines about
+	// closed connections stay in the same log file.
+	maxLateLogLines = 20
+	// lateAcceptWindow is the time before the listener closes in which new
+	// connections are counted. There are none if the load balancer redirects
+	// callers in time.
+	lateAcceptWindow = time.Second
+	// maxHeaderBytes bounds the size of a request's head.
+	maxHeaderBytes = 64 << 10
 )
 
-// Server serves callers' connections. On a stop it cuts no request off.
+// Server serves callers' connections. When it stops, it lets requests in
+// transit or in flight complete, up to the time limit of the stop.
 type Server struct {
 	handler http.Handler
 	log     *slog.Logger
 
 	mu    sync.Mutex
 	conns map[*callerConn]bool
-	// closed counts the connections that a stop closed as quiet, late those
-	// on which bytes came after that, lateBytes these bytes.
+	// closed counts the connections that closeIfIdle closed, late those on
+	// which bytes arrived afterwards, and lateBytes these bytes.
 	closed, late, lateBytes int
-	// closing is when a stop closes the listener; accepted counts the connections
-	// taken within lateAccept before, unanswered those that ended since the stop
-	// began after bytes came that nothing was answered to.
+	// closing is when a stop closes the listener; zero before a stop. accepted
+	// counts the connections accepted within lateAcceptWindow before closing.
+	// unanswered counts the connections closed since the stop began with
+	// received bytes unanswered.
 	closing              time.Time
 	accepted, unanswered int
 }
 
-// NewServer returns a server of handler.
+// NewServer returns a server that calls handler for each request and logs its
+// panics.
 func NewServer(handler http.Handler, log *slog.Logger) *Server {
 	return &Server{handler: logging.Panics(handler, log), log: log, conns: map[*callerConn]bool{}}
 }
 
-// callerListener wraps what it accepts.
+// callerListener wraps accepted connections in a callerConn.
 type callerListener struct {
 	net.Listener
 	server *Server
@@ -81,20 +87,20 @@
 		return nil, err
 	}
 	conn := &callerConn{Conn: raw, server: listener.server, since: time.Now()}
-	listener.server.began(conn)
+	listener.server.connOpened(conn)
 	return conn, nil
 }
 
-// Serve serves the connections of listener until ctx ends, then stops
-// within grace: it still takes connections until the balancer knows, then
-// closes those without a request, and ends when the last answer has ended.
-// It reports its end on done.
+// Serve serves connections from listener until ctx ends, then stops within
+// grace. It accepts connections for balancerDelay more, then closes idle ones
+// and waits for the remaining responses. It sends its result on done: nil after
+// a stop, otherwise the error of the listener.
 func (server *Server) Serve(ctx context.Context, listener net.Listener, grace time.Duration, done chan<- error) {
-	srv := &http.Server{Handler: notingBegin(server.handler), ConnContext: withConn, ReadHeaderTimeout: headTimeout, IdleTimeout: idleTimeout, MaxHeaderBytes: maxHead,
+	srv := &http.Server{Handler: trackRequests(server.handler), ConnContext: withConn, ReadHeaderTimeout: headTimeout, IdleTimeout: idleTimeout, MaxHeaderBytes: maxHeaderBytes,
 		ErrorLog: slog.NewLogLogger(server.log.Handler(), slog.LevelWarn),
 		ConnState: func(conn net.Conn, state http.ConnState) {
-			if own, ok := conn.(*callerConn); ok && state == http.StateIdle {
-				own.rest()
+			if tracked, ok := conn.(*callerConn); ok && state == http.StateIdle {
+				tracked.responseEnded()
 			}
 		}}
 	ended := make(chan error, 1)
@@ -107,89 +113,89 @@
 	}
 	began := time.Now()
 	server.mu.Lock()
-	server.closing = began.Add(noticeTime)
+	server.closing = began.Add(balancerDelay)
 	server.mu.Unlock()
-	time.Sleep(noticeTime)
+	time.Sleep(balancerDelay)
 	_ = listener.Close()
 	if err := <-ended; err != nil && !errors.Is(err, net.ErrClosed) {
-		server.log.Warn("accepting connections ended", "err", err)
+		server.log.Warn("accepting connections failed; waiting for open connections to finish", "err", err)
 	}
-	open := server.open()
-	for time.Since(began) < grace-stopMargin && server.closeQuiet() > 0 {
+	openConns := server.openConns()
+	for time.Since(began) < grace-stopMargin && server.closeIdle() > 0 {
 		time.Sleep(stopPoll)
 	}
-	left := server.closeQuiet()
-	if left > 0 {
-		server.log.Warn("stopping with requests in flight: the time to stop is over", "connections", left)
+	remaining := server.closeIdle()
+	if remaining > 0 {
+		server.log.Warn("stop deadline reached; stopping with connections still open", "connections", remaining)
 	}
 	server.mu.Lock()
 	closed, late, lateBytes := server.closed, server.late, server.lateBytes
 	accepted, unanswered := server.accepted, server.unanswered
 	server.mu.Unlock()
-	server.log.Info("serving ended", "took", time.Since(began), "connections", open, "closed_quiet", closed, "late", late, "late_bytes", lateBytes, "left", left,
+	server.log.Info("serving ended", "took", time.Since(began), "connections", openConns, "closed_quiet", closed, "late", late, "late_bytes", lateBytes, "left", remaining,
 		"accepted_last", accepted, "unanswered", unanswered)
 	done <- nil
 }
 
-// began notes a connection that was taken.
-func (server *Server) began(conn *callerConn) {
+// connOpened records an accepted connection.
+func (server *Server) connOpened(conn *callerConn) {
 	server.mu.Lock()
 	defer server.mu.Unlock()
 	server.conns[conn] = true
-	if !server.closing.IsZero() && conn.since.After(server.closing.Add(-lateAccept)) {
+	if !server.closing.IsZero() && conn.since.After(server.closing.Add(-lateAcceptWindow)) {
 		server.accepted++
 	}
 }
 
-// ended notes a connection that ends. During a stop it tells of one that a
-// request, or a part of one, came on and nothing was answered to.
-func (server *Server) ended(conn *callerConn, unanswered bool) {
+// connClosed removes a connection. During a stop it counts and logs one that
+// closes with received bytes unanswered.
+func (server *Server) connClosed(conn *callerConn, unanswered bool) {
 	server.mu.Lock()
 	_, open := server.conns[conn]
 	delete(server.conns, conn)
-	tell := open && unanswered && !server.closing.IsZero()
-	if tell {
+	report := open && unanswered && !server.closing.IsZero()
+	if report {
 		server.unanswered++
 	}
-	log := tell && server.unanswered <= lateLines
+	log := report && server.unanswered <= maxLateLogLines
 	server.mu.Unlock()
 	if log {
 		server.log.Warn("connection ended without an answer", "caller", conn.RemoteAddr(), "since", conn.since)
 	}
 }
 
-// open returns how many connections there are.
-func (server *Server) open() int {
+// openConns returns the number of open connections.
+func (server *Server) openConns() int {
 	server.mu.Lock()
 	defer server.mu.Unlock()
 	return len(server.conns)
 }
 
-// closedQuiet counts a connection that a stop closed.
-func (server *Server) closedQuiet() {
+// recordIdleClose counts a connection that closeIfIdle closed.
+func (server *Server) recordIdleClose() {
 	server.mu.Lock()
 	defer server.mu.Unlock()
 	server.closed++
 }
 
-// cameLate notes that bytes of a request came on a connection that a stop
-// had closed. They were not read before: the request did not run.
-func (server *Server) cameLate(conn *callerConn, bytes int, first bool, after time.Duration) {
+// recordLateBytes counts and logs bytes that arrived after closeIfIdle closed
+// the connection. They were not processed, so the request did not run.
+func (server *Server) recordLateBytes(conn *callerConn, bytes int, first bool, after time.Duration) {
 	server.mu.Lock()
 	server.lateBytes += bytes
 	if first {
 		server.late++
 	}
-	log := first && server.late <= lateLines
+	log := first && server.late <= maxLateLogLines
 	server.mu.Unlock()
 	if log {
 		server.log.Warn("request came after its connection was closed", "caller", conn.RemoteAddr(), "bytes", bytes, "after", after)
 	}
 }
 
-// closeQuiet closes the connections without a request and returns how many
-// are left, those included that are still read.
-func (server *Server) closeQuiet() int {
+// closeIdle closes idle connections and returns the number still open,
+// including those that are closed but still read.
+func (server *Server) closeIdle() int {
 	server.mu.Lock()
 	conns := make([]*callerConn, 0, len(server.conns))
 	for conn := range server.conns {
@@ -197,7 +203,7 @@
 	}
 	server.mu.Unlock()
 	for _, conn := range conns {
-		conn.closeIfQuiet()
+		conn.closeIfIdle()
 	}
-	return server.open()
+	return server.openConns()
 }
--- a/gateway/listener_test.go
+++ b/gateway/listener_test.go
@@ -21,18 +21,20 @@
 	"github.com/wagtaildrum/wagtaildrum/gateway"
 )
 
-// pipeListener accepts connections within the process.
+// pipeListener accepts in-process connections.
 type pipeListener struct {
 	conns  chan net.Conn
 	closed chan struct{}
 	close  func()
 }
 
+// newPipeListener returns an open pipeListener.
 func newPipeListener() *pipeListener {
 	closed := make(chan struct{})
 	return &pipeListener{conns: make(chan net.Conn), closed: closed, close: sync.OnceFunc(func() { close(closed) })}
 }
 
+// Accept implements net.Listener.
 func (listener *pipeListener) Accept() (net.Conn, error) {
 	select {
 	case conn := <-listener.conns:
@@ -42,23 +44,27 @@
 	}
 }
 
+// Close implements net.Listener.
 func (listener *pipeListener) Close() error {
 	listener.close()
 	return nil
 }
 
+// Addr implements net.Listener.
 func (listener *pipeListener) Addr() net.Addr { return &net.IPAddr{} }
 
+// dial connects to the listener without latency, once it is accepted.
 func (listener *pipeListener) dial() net.Conn {
 	near, far := net.Pipe()
 	listener.conns <- far
 	return near
 }
 
-// askOn sends a request on conn and returns the status of its answer.
-func askOn(conn net.Conn) (int, error) { return askHost(conn, "desk.example") }
+// roundTrip sends a request on conn and returns the status of its response.
+func roundTrip(conn net.Conn) (int, error) { return roundTripHost(conn, "desk.example") }
 
-func askHost(conn net.Conn, host string) (int, error) {
+// roundTripHost is like roundTrip, with a given Host header.
+func roundTripHost(conn net.Conn, host string) (int, error) {
 	r, err := http.NewRequest(http.MethodGet, "http://"+host+"/", nil)
 	if err != nil {
 		return 0, err
@@ -74,15 +80,15 @@
 	return response.StatusCode, err
 }
 
-// Symptom: a request to an instance that stops ends with its connection, and
-// the caller cannot tell whether it ran. Events: the instance stops; three
-// seconds later it closes the connections without a request; on one of them,
-// just taken, or kept by a caller that has just got an answer, a request is
-// under way. Cause: a connection counted as quiet until the first byte of a
-// request was read. The ways of 10 and 100 ms are those of a caller nearby
-// and of one far away or on a busy machine.
-func TestStoppingServerAnswersRequestsUnderWay(t *testing.T) {
-	for _, way := range []time.Duration{10 * time.Millisecond, 100 * time.Millisecond} {
+// Guards against a request in transit that a stopping instance answers only by
+// closing its connection, so that the caller cannot tell whether it ran. Three
+// seconds after the stop began, the instance closes connections without a
+// request; it counted a connection as idle until the first byte of a request
+// was read. The connection is either new or kept by a caller that has just
+// received a response. The latencies of 10 and 100 ms are those of a nearby
+// caller and of a distant one or a busy machine.
+func TestStopAnswersRequestsInTransit(t *testing.T) {
+	for _, latency := range []time.Duration{10 * time.Millisecond, 100 * time.Millisecond} {
 		for _, kept := range []bool{false, true} {
 			synctest.Test(t, func(t *testing.T) {
 				handler := http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusOK) })
@@ -94,17 +100,17 @@
 				time.Sleep(3*time.Second - 5*time.Millisecond)
 				conn := listener.dial()
 				if kept {
-					status, err := askOn(conn)
+					status, err := roundTrip(conn)
 					require.NoError(t, err)
 					require.Equal(t, http.StatusOK, status)
 				}
-				time.Sleep(way)
-				status, err := askOn(conn)
-				require.NoError(t, err, "kept=%v way=%v", kept, way)
+				time.Sleep(latency)
+				status, err := roundTrip(conn)
+				require.NoError(t, err, "kept=%v latency=%v", kept, latency)
 				assert.Equal(t, http.StatusOK, status)
 				began := time.Now()
 				require.NoError(t, <-done)
-				assert.Less(t, time.Since(began), time.Second, "connections without a request do not hold the stop up")
+				assert.Less(t, time.Since(began), time.Second, "connections without a request must not delay the stop")
 				_, err = idle.Read(make([]byte, 1))
 				assert.ErrorIs(t, err, io.EOF)
 			})
@@ -112,34 +118,36 @@
 	}
 }
 
-// closeTime after the stop connections without a request are closed.
-const closeTime = 3 * time.Second
+// idleCloseDelay is the time from a stop to the closing of idle connections.
+const idleCloseDelay = 3 * time.Second
 
-// Guards against a request that a stopping instance closes its connection on, and no line that says so.
-func TestRequestLostToCloseGoesUnlogged(t *testing.T) {
+// Guards against a request that reaches a stopping instance after its
+// connection was closed, without a log line about it.
+func TestStopLogsRequestAfterClose(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var out bytes.Buffer
 		handler := http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusOK) })
 		listener, done := newPipeListener(), make(chan error, 1)
 		ctx, cancel := context.WithCancel(t.Context())
 		go gateway.NewServer(handler, slog.New(slog.NewTextHandler(&out, nil))).Serve(ctx, listener, 8*time.Second, done)
-		idle, busy := listener.dialFar(20*time.Millisecond), listener.dialFar(20*time.Millisecond)
+		idle, busy := listener.dialWithLatency(20*time.Millisecond), listener.dialWithLatency(20*time.Millisecond)
 		cancel()
-		time.Sleep(closeTime - 10*time.Millisecond)
-		_, _ = askOn(busy) // crosses the close
+		time.Sleep(idleCloseDelay - 10*time.Millisecond)
+		_, _ = roundTrip(busy) // crosses the close
 		_ = busy.Close()
 		require.NoError(t, <-done)
 		_, _ = io.Copy(io.Discard, idle)
 		_ = idle.Close()
-		time.Sleep(time.Second) // what is on its way arrives
+		time.Sleep(time.Second) // packets in transit arrive
 		assert.Regexp(t, `msg="request came after its connection was closed" caller=pipe bytes=[1-9]\d* after=10ms`, out.String())
 		assert.Regexp(t, `msg="serving ended" took=3\S* connections=2 closed_quiet=2 late=1 late_bytes=[1-9]\d* left=0`, out.String())
 	})
 }
 
-// Guards against connections that a stop cuts and no line tells of: those that new
-// callers open while the listener closes, and those that end with a request unanswered.
-func TestStopTellsWhatItCuts(t *testing.T) {
+// Guards against connections lost during a stop without a log line: those that
+// new callers open just before the listener closes, and those that close with a
+// request unanswered.
+func TestStopLogsUnansweredConnections(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var out bytes.Buffer
 		handler := http.HandlerFunc(func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) })
@@ -147,11 +155,11 @@
 		ctx, cancel := context.WithCancel(t.Context())
 		go gateway.NewServer(handler, slog.New(slog.NewTextHandler(&out, nil))).Serve(ctx, listener, 8*time.Second, done)
 		cancel()
-		time.Sleep(closeTime - 1100*time.Millisecond)
+		time.Sleep(idleCloseDelay - 1100*time.Millisecond)
 		early := listener.dial()
 		time.Sleep(200 * time.Millisecond)
 		late := listener.dial()
-		_, err := askOn(late)
+		_, err := roundTrip(late)
 		require.Error(t, err)
 		_ = early.Close()
 		require.NoError(t, <-done)
@@ -160,44 +168,47 @@
 	})
 }
 
-// Guards against a request that ends with its connection, so that its caller cannot know whether it ran: it crossed the close of a stopping instance.
-func TestRequestThatCrossesCloseGetsNoPromise(t *testing.T) {
-	for _, way := range []time.Duration{2 * time.Millisecond, 20 * time.Millisecond, 50 * time.Millisecond} {
-		for _, before := range []time.Duration{way - time.Millisecond, 0, -(way - time.Millisecond)} {
+// Guards against a request that crosses the close of its connection by a
+// stopping instance and gets no response, so that the caller cannot tell
+// whether it ran.
+func TestRequestCrossingCloseGetsNotRunResponse(t *testing.T) {
+	for _, latency := range []time.Duration{2 * time.Millisecond, 20 * time.Millisecond, 50 * time.Millisecond} {
+		for _, before := range []time.Duration{latency - time.Millisecond, 0, -(latency - time.Millisecond)} {
 			synctest.Test(t, func(t *testing.T) {
 				var ran atomic.Int32
 				handler := http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { ran.Add(1); w.WriteHeader(http.StatusOK) })
 				listener, done := newPipeListener(), make(chan error, 1)
 				ctx, cancel := context.WithCancel(t.Context())
 				go gateway.NewServer(handler, slog.New(slog.DiscardHandler)).Serve(ctx, listener, 8*time.Second, done)
-				kept := listener.dialFar(way)
-				status, err := askOn(kept)
+				kept := listener.dialWithLatency(latency)
+				status, err := roundTrip(kept)
 				require.NoError(t, err)
 				require.Equal(t, http.StatusOK, status)
 				time.Sleep(time.Second)
 				cancel()
-				time.Sleep(closeTime - before)
-				status, err = askOn(kept)
-				require.NoError(t, err, "way=%v before=%v", way, before)
+				time.Sleep(idleCloseDelay - before)
+				status, err = roundTrip(kept)
+				require.NoError(t, err, "latency=%v before=%v", latency, before)
 				assert.Equal(t, http.StatusRequestTimeout, status)
 				_, err = kept.Read(make([]byte, 1))
 				assert.ErrorIs(t, err, io.EOF)
 				require.NoError(t, kept.Close())
 				require.NoError(t, <-done)
-				time.Sleep(time.Second) // what is on its way arrives
-				assert.EqualValues(t, 1, ran.Load(), "what was promised not to run ran")
+				time.Sleep(time.Second) // packets in transit arrive
+				assert.EqualValues(t, 1, ran.Load(), "a request answered as not run must not run")
 			})
 		}
 	}
 }
 
-// Guards against a stop that takes as long as callers leave a closed connection open.
-func TestCallerThatKeepsClosedConnectionHoldsStopUp(t *testing.T) {
+// Guards against a stop that takes as long as callers keep a closed connection
+// open.
+func TestCallerKeepingClosedConnectionDoesNotDelayStop(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		listener, done := newPipeListener(), make(chan error, 1)
 		ctx, cancel := context.WithCancel(t.Context())
 		go gateway.NewServer(http.NotFoundHandler(), slog.New(slog.DiscardHandler)).Serve(ctx, listener, 8*time.Second, done)
-		idle := listener.dialFar(20 * time.Millisecond)
+		idle := listener.dialWithLatency(20 * time.Millisecond)
 		cancel()
 		began := time.Now()
 		require.NoError(t, <-done)
@@ -205,12 +216,14 @@
 		_, err := http.ReadResponse(bufio.NewReader(idle), nil)
 		assert.NoError(t, err)
 		_ = idle.Close()
-		time.Sleep(time.Second) // what is on its way arrives
+		time.Sleep(time.Second) // packets in transit arrive
 	})
 }
 
-// Guards against an answer that a stopping instance breaks with the close of its connection: its request came together with the one before.
-func TestCloseBreaksAnswerToSecondRequestOfPacket(t *testing.T) {
+// Guards against a stopping instance that closes a connection during the
+// response to a pipelined request, which arrived in the same packet as the
+// previous one.
+func TestStopAnswersPipelinedRequest(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		handler := http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 			time.Sleep(400 * time.Millisecond)
@@ -219,19 +232,19 @@
 		listener, done := newPipeListener(), make(chan error, 1)
 		ctx, cancel := context.WithCancel(t.Context())
 		go gateway.NewServer(handler, slog.New(slog.DiscardHandler)).Serve(ctx, listener, 8*time.Second, done)
-		conn := listener.dialFar(time.Millisecond)
+		conn := listener.dialWithLatency(time.Millisecond)
 		cancel()
-		time.Sleep(closeTime - 100*time.Millisecond)
+		time.Sleep(idleCloseDelay - 100*time.Millisecond)
 		_, err := io.WriteString(conn, strings.Repeat("GET / HTTP/1.1\r\nHost: desk.example\r\n\r\n", 2))
 		require.NoError(t, err)
 		reader := bufio.NewReader(conn)
 		for n := range 2 {
 			response, err := http.ReadResponse(reader, nil)
 			require.NoError(t, err)
-			assert.Equal(t, http.StatusOK, response.StatusCode, "answer %d", n)
+			assert.Equal(t, http.StatusOK, response.StatusCode, "response %d", n)
 		}
 		_ = conn.Close()
 		require.NoError(t, <-done)
-		time.Sleep(time.Second) // what is on its way arrives
+		time.Sleep(time.Second) // packets in transit arrive
 	})
 }
--- a/gateway/organisation_test.go
+++ b/gateway/organisation_test.go
@@ -17,7 +17,7 @@
 	"github.com/wagtaildrum/wagtaildrum/platform/platformtest"
 )
 
-// lockedBuffer is a buffer that several instances log to.
+// lockedBuffer is a buffer that several instances can log to concurrently.
 type lockedBuffer struct {
 	mu     sync.Mutex
 	buffer bytes.Buffer
@@ -30,27 +30,29 @@
 	return b.buffer.Write(p)
 }
 
-// String returns what was written.
+// String returns the data written so far.
 func (b *lockedBuffer) String() string {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.buffer.String()
 }
 
-// organised returns a bed in which x holds the keys secret-x1 and secret-x2,
-// and y secret-y.
-func organised(t *testing.T) *bed {
+// newOrganisationsFixture returns a fixture with two organisations: x holds the
+// keys secret-x1 and secret-x2, and y holds secret-y.
+func newOrganisationsFixture(t *testing.T) *fixture {
 	t.Helper()
-	b := newBed(t)
+	b := newFixture(t)
 	b.configure(4, platformtest.Organisation{Name: "x", Keys: []string{"secret-x1", "secret-x2"}}, platformtest.Organisation{Name: "y", Keys: []string{"secret-y"}})
 	return b
 }
 
-func (b *bed) configure(version int, organisations ...platformtest.Organisation) {
+// configure stores a version of the configuration that has the organisations.
+func (b *fixture) configure(version int, organisations ...platformtest.Organisation) {
 	platformtest.Configure(b.memory, platformtest.WithOrganisations(platformtest.Configuration(version), organisations...))
 }
 
-func keyed(key string, header map[string]string) map[string]string {
+// withKey returns a copy of header with the organisation key added.
+func withKey(key string, header map[string]string) map[string]string {
 	all := map[string]string{"Api-Key": key}
 	for name, value := range header {
 		all[name] = value
@@ -58,15 +60,15 @@
 	return all
 }
 
-// Guards against a key reaching an endpoint or the log, and an organisation's
-// name that the caller made up.
-func TestEndpointIsToldTheOrganisationAndNoKey(t *testing.T) {
-	b := organised(t)
+// Guards against a key that reaches an endpoint or the log, and against an
+// organisation name forged by the caller.
+func TestEndpointReceivesOrganisationWithoutKey(t *testing.T) {
+	b := newOrganisationsFixture(t)
 	logs := &lockedBuffer{}
 	b.logs = logs
-	i := b.start()
+	i := b.startInstance()
 	for n, key := range []string{"secret-x1", "secret-x2", "secret-y"} {
-		response, _ := i.must(ask{path: "/post/x", id: fmt.Sprint("r", n), body: "b", header: keyed(key, map[string]string{"X-Tenant": "other"})})
+		response, _ := i.mustSend(callerRequest{path: "/post/x", id: fmt.Sprint("r", n), body: "b", header: withKey(key, map[string]string{"X-Tenant": "other"})})
 		require.Equal(t, 200, response.StatusCode)
 	}
 	runs := b.tool.Runs()
@@ -75,7 +77,7 @@
 		assert.Equal(t, name, runs[n].Organisation)
 		assert.Empty(t, runs[n].Key)
 	}
-	response, text := i.must(ask{path: "/post/x", id: "r9", body: "b", header: keyed("secret-z", nil)})
+	response, text := i.mustSend(callerRequest{path: "/post/x", id: "r9", body: "b", header: withKey("secret-z", nil)})
 	assert.Equal(t, 401, response.StatusCode)
 	assert.NotContains(t, text, "secret")
 	require.Eventually(t, func() bool { return bytes.Contains([]byte(logs.String()), []byte("request=r9")) }, time.Second, 10*time.Millisecond)
@@ -83,85 +85,85 @@
 	assert.Contains(t, logs.String(), "organisation=x")
 }
 
-// Guards against requests that run without a key that the configuration
-// holds, and against public routes that ask for one.
+// Guards against running requests without a configured key, and against
+// requiring a key on public routes.
 func TestRequestWithoutKnownKeyDoesNotRun(t *testing.T) {
-	b := organised(t)
-	i := b.start()
+	b := newOrganisationsFixture(t)
+	i := b.startInstance()
 	for _, key := range []string{"", "secret-x", "x", "secret-x1 ", "Bearer secret-x1"} {
 		for _, path := range []string{"/post/x", "/chat/x", "/keep/x"} {
-			response, _ := i.must(ask{path: path, id: "r", body: "b", header: keyed(key, turnOf("p", nil))})
+			response, _ := i.mustSend(callerRequest{path: path, id: "r", body: "b", header: withKey(key, turnHeaders("p", nil))})
 			want := 401
 			if key == "secret-x1 " {
-				want = 200 // white space around a value is no part of it
+				want = 200 // white space around a header value is not part of it
 			}
 			assert.Equal(t, want, response.StatusCode, "%s %q", path, key)
 		}
 	}
-	response, _ := i.must(ask{path: "/look/x", id: "open", header: map[string]string{"X-Tenant": "x"}})
+	response, _ := i.mustSend(callerRequest{path: "/look/x", id: "open", header: map[string]string{"X-Tenant": "x"}})
 	assert.Equal(t, 200, response.StatusCode)
 	runs := b.tool.Runs()
-	assert.Empty(t, runs[len(runs)-1].Organisation, "a caller without a key is nobody's")
+	assert.Empty(t, runs[len(runs)-1].Organisation, "a caller without a key belongs to no organisation")
 }
 
-// Guards against a conversation that another organisation continues, and a
-// budget that it spends, by guessing IDs.
-func TestOrganisationsDoNotMeetInProgramsAndTurns(t *testing.T) {
-	b := organised(t)
-	b.model.Events = 21 // the most of the turn: three of them spend the budget
-	first, second := b.start(), b.start()
-	own := keyed("secret-x1", turnOf("p", nil))
-	response, _ := first.must(ask{path: "/keep/x", id: "t1", body: "one ", header: own})
+// Guards against an organisation that continues another's conversation, or
+// spends its budget, by guessing IDs.
+func TestOrganisationsDoNotSharePrograms(t *testing.T) {
+	b := newOrganisationsFixture(t)
+	b.model.Events = 21 // the maximum of the turn: three turns spend the budget
+	first, second := b.startInstance(), b.startInstance()
+	headers := withKey("secret-x1", turnHeaders("p", nil))
+	response, _ := first.mustSend(callerRequest{path: "/keep/x", id: "t1", body: "one ", header: headers})
 	require.Equal(t, 200, response.StatusCode)
 	for _, i := range []*instance{first, second} {
-		response, _ = i.must(ask{path: "/keep/x", id: "guess", body: "x", header: keyed("secret-y", turnOf("p", map[string]string{"X-Previous-Turn": "t1"}))})
+		response, _ = i.mustSend(callerRequest{path: "/keep/x", id: "guess", body: "x", header: withKey("secret-y", turnHeaders("p", map[string]string{"X-Previous-Turn": "t1"}))})
 		assert.Equal(t, 404, response.StatusCode)
 	}
 	for n := range 6 {
-		first.must(ask{path: "/chat/x", id: fmt.Sprint("spend", n), body: "x", header: keyed("secret-y", turnOf("p", nil))})
+		first.mustSend(callerRequest{path: "/chat/x", id: fmt.Sprint("spend", n), body: "x", header: withKey("secret-y", turnHeaders("p", nil))})
 	}
-	response, _ = second.must(ask{path: "/keep/x", id: "t2", body: "two", header: keyed("secret-x2", turnOf("p", map[string]string{"X-Previous-Turn": "t1"}))})
-	assert.Equal(t, 200, response.StatusCode, "any key of the organisation continues, and its budget is its own")
+	response, _ = second.mustSend(callerRequest{path: "/keep/x", id: "t2", body: "two", header: withKey("secret-x2", turnHeaders("p", map[string]string{"X-Previous-Turn": "t1"}))})
+	assert.Equal(t, 200, response.StatusCode, "any key of the organisation continues the conversation, and its budget is separate")
 	for _, run := range b.model.Runs() {
 		assert.NotEqual(t, "guess", run.ID)
 	}
 }
 
-// Guards against a key that still works, on a connection that was open before
-// it was taken away.
+// Guards against a revoked key that stays valid on a connection opened before.
 func TestRevokedKeyIsRefusedOnOpenConnections(t *testing.T) {
-	b := organised(t)
-	i := b.start()
+	b := newOrganisationsFixture(t)
+	i := b.startInstance()
 	client := &http.Client{}
 	defer client.CloseIdleConnections()
-	response, _ := i.must(ask{path: "/post/x", id: "r1", body: "b", header: keyed("secret-x1", nil), client: client})
+	response, _ := i.mustSend(callerRequest{path: "/post/x", id: "r1", body: "b", header: withKey("secret-x1", nil), client: client})
 	require.Equal(t, 200, response.StatusCode)
 	b.configure(5, platformtest.Organisation{Name: "x", Keys: []string{"secret-x2"}})
 	require.Eventually(t, func() bool {
-		response, _ := i.must(ask{path: "/post/x", id: "r2", body: "b", header: keyed("secret-x1", nil), client: client})
+		response, _ := i.mustSend(callerRequest{path: "/post/x", id: "r2", body: "b", header: withKey("secret-x1", nil), client: client})
 		return response.StatusCode == 401
 	}, time.Second, 10*time.Millisecond)
-	response, _ = i.must(ask{path: "/post/x", id: "r3", body: "b", header: keyed("secret-x2", nil), client: client})
+	response, _ = i.mustSend(callerRequest{path: "/post/x", id: "r3", body: "b", header: withKey("secret-x2", nil), client: client})
 	assert.Equal(t, 200, response.StatusCode)
 }
 
-// Guards against a 401 from an instance that may not have heard of the key:
-// the caller's program would end.
-func TestCutOffInstanceSendsUnknownKeysElsewhere(t *testing.T) {
-	b := organised(t)
-	i := b.start()
-	i.away.Store(true)
-	i.cutOff.Store(true)
-	response, _ := i.must(ask{path: "/post/x", id: "r1", body: "b", header: keyed("new", nil)})
+// Guards against a 401 response from an instance that may have missed the key.
+// It would end the caller's program.
+func TestPartitionedInstanceRefusesUnknownKeyAsUnavailable(t *testing.T) {
+	b := newOrganisationsFixture(t)
+	i := b.startInstance()
+	i.storeUnavailable.Store(true)
+	i.isolated.Store(true)
+	response, _ := i.mustSend(callerRequest{path: "/post/x", id: "r1", body: "b", header: withKey("new", nil)})
 	assert.Equal(t, 503, response.StatusCode)
 	assert.NotEmpty(t, response.Header.Get("Retry-After"))
 }
 
-// Guards against a second key header that reaches an endpoint, and a name that
-// is passed on as a header of one connection.
-func TestHeadersInManyFormsNameNoOtherOrganisation(t *testing.T) {
-	b := organised(t)
-	i := b.start()
+// Guards against a second key header that reaches an endpoint, and against a
+// forged organisation name that is forwarded because a Connection header lists
+// it.
+func TestHeaderVariantsCannotForgeOrganisation(t *testing.T) {
+	b := newOrganisationsFixture(t)
+	i := b.startInstance()
 	for n, extra := range []string{"Api-Key: secret-y\r\n", "X-Tenant: y\r\nX-Tenant: z\r\n", "x-tenant: y\r\n", "Connection: X-Tenant\r\nX-Tenant: y\r\n", "Connection: Api-Key\r\n"} {
 		connection, err := net.Dial("tcp", i.address)
 		require.NoError(t, err)
--- a/gateway/outage_test.go
+++ b/gateway/outage_test.go
@@ -17,71 +17,76 @@
 	"github.com/wagtaildrum/wagtaildrum/store/storetest"
 )
 
-// Guards against tokens that are spent on a part of an answer: a caller can do
-// nothing with it, and its next try finds that much less of the budget.
-func TestAnswerThatMayNotEndIsHeldBack(t *testing.T) {
-	b := newBed(t)
+// Guards against tokens spent on a partial response. The caller cannot use it,
+// and its next attempt has that much less budget.
+func TestStreamWithPartialGrantIsHeldBack(t *testing.T) {
+	b := newFixture(t)
 	b.model.Events = 21
-	i := b.start()
-	require.NoError(t, i.accounts.AcquireOnce(context.Background(), alone{}, false))
+	i := b.startInstance()
+	require.NoError(t, i.accounts.AcquireOnce(context.Background(), singleInstance{}, false))
 	b.memory.SetFault(func(string, string) storetest.Fault { return storetest.Refuse })
-	response, body := i.must(ask{path: "/chat/x", id: "t1", body: "x", header: turnOf("p", map[string]string{"X-Deadline-Ms": "900"})})
-	assert.Equal(t, 502, response.StatusCode, "it has run, and may not be told to be whole")
+	response, body := i.mustSend(callerRequest{path: "/chat/x", id: "t1", body: "x", header: turnHeaders("p", map[string]string{"X-Deadline-Ms": "900"})})
+	assert.Equal(t, 502, response.StatusCode, "the turn has run, and its response must not look complete")
 	assert.Contains(t, body, "StoreAway")
 	assert.Zero(t, strings.Count(body, "data:"))
 }
 
-// patient reads an answer as callers do: one leaves after two seconds without an
-// event, or at its deadline. It returns the body, and an error if that is not
-// whole.
-func (i *instance) patient(a ask) (string, error) {
+// sendWithCallerTimeout reads a response as callers do: it disconnects after
+// callerEventTimeout without an event, and at its deadline. It returns the body
+// read so far, and an error if that is incomplete.
+func (i *instance) sendWithCallerTimeout(a callerRequest) (string, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), 3*time.Second)
 	defer cancel()
 	a.ctx = ctx
-	a.client = &http.Client{Transport: &watchedTransport{leave: cancel, base: &http.Transport{DisableKeepAlives: true}}}
+	a.client = &http.Client{Transport: &eventTimeoutTransport{abort: cancel, base: &http.Transport{DisableKeepAlives: true}}}
 	_, body, err := i.send(a)
 	return body, err
 }
 
-// watchedTransport has a caller leave after callerPatience without a byte.
-type watchedTransport struct {
-	leave context.CancelFunc
+// eventTimeoutTransport aborts the request after callerEventTimeout without a
+// byte of the response.
+type eventTimeoutTransport struct {
+	abort context.CancelFunc
 	base  http.RoundTripper
 }
 
-const callerPatience = 2 * time.Second
+// callerEventTimeout is how long a caller waits for the next event.
+const callerEventTimeout = 2 * time.Second
 
-func (transport *watchedTransport) RoundTrip(r *http.Request) (*http.Response, error) {
-	timer := time.AfterFunc(callerPatience, transport.leave)
+// RoundTrip implements http.RoundTripper.
+func (transport *eventTimeoutTransport) RoundTrip(r *http.Request) (*http.Response, error) {
+	timer := time.AfterFunc(callerEventTimeout, transport.abort)
 	response, err := transport.base.RoundTrip(r)
 	if err == nil {
-		response.Body = &watchedBody{ReadCloser: response.Body, timer: timer}
+		response.Body = &eventTimeoutBody{ReadCloser: response.Body, timer: timer}
 	}
 	return response, err
 }
 
-type watchedBody struct {
+// eventTimeoutBody restarts the timer whenever data arrives.
+type eventTimeoutBody struct {
 	io.ReadCloser
 	timer *time.Timer
 }
 
-func (body *watchedBody) Read(p []byte) (int, error) {
+// Read implements io.Reader.
+func (body *eventTimeoutBody) Read(p []byte) (int, error) {
 	n, err := body.ReadCloser.Read(p)
 	if n > 0 {
-		body.timer.Reset(callerPatience)
+		body.timer.Reset(callerEventTimeout)
 	}
 	return n, err
 }
 
-// Guards against streams that began with a part of their budget and break off
-// while the store is away for longer than a caller waits for an event.
-func TestStreamWithPartOfItsBudgetOutlastsAnOutage(t *testing.T) {
-	b := newBed(t)
-	b.model.Events, b.model.Pause = 21, 10*time.Millisecond // of 27 tokens: the most of the turn
+// Guards against streams that started with a partial grant and break off
+// because the store is unavailable for longer than the caller's event timeout.
+func TestPartialGrantSurvivesStoreOutage(t *testing.T) {
+	b := newFixture(t)
+	b.model.Events, b.model.Pause = 21, 10*time.Millisecond // of 27 tokens each: the maximum of the turn
 	logs := &lockedBuffer{}
 	b.logs = logs
-	i := b.start()
-	require.NoError(t, i.accounts.AcquireOnce(context.Background(), alone{}, false))
+	i := b.startInstance()
+	require.NoError(t, i.accounts.AcquireOnce(context.Background(), singleInstance{}, false))
 	b.memory.SetFault(func(op, _ string) storetest.Fault {
 		if op == "commit" {
 			return storetest.Refuse
@@ -91,51 +96,51 @@
 	time.AfterFunc(2500*time.Millisecond, func() {
 		b.memory.SetFault(func(string, string) storetest.Fault { return storetest.None })
 	})
-	body, err := i.patient(ask{path: "/chat/x", id: "t1", body: "x", header: turnOf("p", nil)})
+	body, err := i.sendWithCallerTimeout(callerRequest{path: "/chat/x", id: "t1", body: "x", header: turnHeaders("p", nil)})
 	require.NoError(t, err)
-	assert.Equal(t, events("t1", 1, 21), body)
+	assert.Equal(t, streamText("t1", 1, 21), body)
 	assert.Contains(t, logs.String(), "held_back=true")
 }
 
-// Guards against whole answers that are lost since their callers leave while the
-// store takes no turn: for longer than they wait for an event, not than they wait
-// in all.
-func TestWholeAnswerOutlastsAnOutage(t *testing.T) {
-	b := newBed(t)
-	silent := &silentStore{Store: b.memory}
-	b.store = store.NewPersistent(silent, clock.Real{})
-	i := b.start()
-	require.NoError(t, i.accounts.AcquireOnce(context.Background(), alone{}, false))
-	silent.silent.Store(true)
+// Guards against complete responses that are lost because their callers
+// disconnect while the store accepts no turns. The outage is longer than the
+// caller's event timeout but shorter than its deadline.
+func TestCompleteResponseSurvivesStoreOutage(t *testing.T) {
+	b := newFixture(t)
+	hanging := &hangingStore{Store: b.memory}
+	b.store = store.NewPersistent(hanging, clock.Real{})
+	i := b.startInstance()
+	require.NoError(t, i.accounts.AcquireOnce(context.Background(), singleInstance{}, false))
+	hanging.hanging.Store(true)
 	first := make(chan struct{})
 	go func() {
 		defer close(first)
-		_, _ = i.patient(ask{path: "/keep/x", id: "t1", body: "x", header: turnOf("p1", map[string]string{"X-Token-Count": "100,100"})}) // may be lost
+		_, _ = i.sendWithCallerTimeout(callerRequest{path: "/keep/x", id: "t1", body: "x", header: turnHeaders("p1", map[string]string{"X-Token-Count": "100,100"})}) // may fail
 	}()
-	time.Sleep(200 * time.Millisecond) // a call waits: the store is found slow
-	time.AfterFunc(2300*time.Millisecond, func() { silent.silent.Store(false) })
-	body, err := i.patient(ask{path: "/keep/x", id: "t2", body: "x", header: turnOf("p2", map[string]string{"X-Token-Count": "100,100"})})
+	time.Sleep(200 * time.Millisecond) // a pending call makes the guard report a slow store
+	time.AfterFunc(2300*time.Millisecond, func() { hanging.hanging.Store(false) })
+	body, err := i.sendWithCallerTimeout(callerRequest{path: "/keep/x", id: "t2", body: "x", header: turnHeaders("p2", map[string]string{"X-Token-Count": "100,100"})})
 	require.NoError(t, err)
-	assert.Equal(t, events("t2", 1, 3), body)
+	assert.Equal(t, streamText("t2", 1, 3), body)
 	<-first
 }
 
-// Guards against a caller that leaves an endpoint which pauses, while an event that it
-// was not given yet is held back.
-func TestHeldEventKeepsCallerOfEndpointThatPauses(t *testing.T) {
-	b := newBed(t)
+// Guards against a caller that disconnects while its endpoint pauses, although
+// an event was held back that could have kept it connected.
+func TestWithheldEventKeepsCallerDuringPause(t *testing.T) {
+	b := newFixture(t)
 	b.model.Behave(func(*platformtest.Run) platformtest.Behaviour {
 		return platformtest.Behaviour{Stall: 2400 * time.Millisecond}
 	})
-	i := b.start()
-	require.NoError(t, i.accounts.AcquireOnce(context.Background(), alone{}, false))
+	i := b.startInstance()
+	require.NoError(t, i.accounts.AcquireOnce(context.Background(), singleInstance{}, false))
 	b.memory.SetFault(func(op, _ string) storetest.Fault {
 		if op == "commit" {
 			return storetest.Refuse
 		}
 		return storetest.None
 	})
-	body, err := i.patient(ask{path: "/chat/x", id: "t1", body: "x", header: turnOf("p", nil)})
+	body, err := i.sendWithCallerTimeout(callerRequest{path: "/chat/x", id: "t1", body: "x", header: turnHeaders("p", nil)})
 	require.NoError(t, err)
-	assert.Equal(t, events("t1", 1, 3), body)
+	assert.Equal(t, streamText("t1", 1, 3), body)
 }
--- a/gateway/panic_test.go
+++ b/gateway/panic_test.go
@@ -14,8 +14,9 @@
 	"github.com/wagtaildrum/wagtaildrum/gateway"
 )
 
-// Guards against a stop that waits for, or cuts, other requests since the handler of one panicked.
-func TestPanicInHandlerHoldsStopUp(t *testing.T) {
+// Guards against a stop that waits, or breaks off other requests, because the
+// handler of one request panicked.
+func TestHandlerPanicDoesNotDelayStop(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		handler := http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 			time.Sleep(100 * time.Millisecond)
@@ -27,17 +28,17 @@
 		listener, done := newPipeListener(), make(chan error, 1)
 		ctx, cancel := context.WithCancel(t.Context())
 		go gateway.NewServer(handler, slog.New(slog.DiscardHandler)).Serve(ctx, listener, 8*time.Second, done)
-		broken, whole := listener.dial(), listener.dial()
+		failing, other := listener.dial(), listener.dial()
 		cancel()
 		time.Sleep(3*time.Second - 50*time.Millisecond)
-		answered := make(chan int, 1)
+		result := make(chan int, 1)
 		go func() {
-			status, _ := askHost(whole, "other.example")
-			answered <- status
+			status, _ := roundTripHost(other, "other.example")
+			result <- status
 		}()
-		_, err := askOn(broken)
+		_, err := roundTrip(failing)
 		require.Error(t, err)
-		assert.Equal(t, http.StatusOK, <-answered)
+		assert.Equal(t, http.StatusOK, <-result)
 		began := time.Now()
 		require.NoError(t, <-done)
 		assert.Less(t, time.Since(began), time.Second)
--- a/gateway/quota.go
+++ b/gateway/quota.go
@@ -12,21 +12,23 @@
 	"github.com/wagtaildrum/wagtaildrum/quota"
 )
 
-// creditShare of its time is the most that a request of a program that has begun
-// waits for its organisation's credit. One that is refused uses up a try of its
-// caller, which has two; programs take seconds.
-const creditShare = 0.25
+// maxQuotaWaitShare is the share of its remaining time that a request of a
+// started program may wait for quota. A refused request uses up one of its
+// caller's two attempts, and programs run for seconds, so a short wait is
+// better.
+const maxQuotaWaitShare = 0.25
 
-// credit counts the request into its organisation's quota, and waits until
-// there is credit for it if that is soon.
-func (e *exchange) credit(ctx context.Context) error {
+// chargeQuota charges the request to its organisation's quota, and waits for
+// credit that is due soon. It returns a *refusal if there is none in time, or
+// if the remaining quota cannot be determined.
+func (e *exchange) chargeQuota(ctx context.Context) error {
 	if e.organisation == nil || e.organisation.Quota == nil {
 		return nil
 	}
 	began := e.Clock.Now()
 	limit := quota.Limit{Rate: e.organisation.Quota.Rate, Burst: e.organisation.Quota.Burst, Version: e.table.Version()}
-	patience := min(quota.MostPatience, time.Duration(creditShare*float64(e.until.Sub(began))))
-	request := quota.Request{New: e.beginsProgram(), Patience: patience}
+	maxWait := min(quota.MostPatience, time.Duration(maxQuotaWaitShare*float64(e.deadline.Sub(began))))
+	request := quota.Request{New: e.beginsProgram(), Patience: maxWait}
 	if e.program != "" {
 		request.Program = xxhash.Sum64String(e.program)
 	}
@@ -37,17 +39,17 @@
 	case errors.As(err, &exhausted):
 		return refuse(ReasonQuota, http.StatusTooManyRequests, max(exhausted.RetryAfter(), time.Millisecond), err)
 	case err != nil:
-		return e.orGone(ctx, refuse(ReasonQuotaUnknown, http.StatusServiceUnavailable, elsewherePause, err))
+		return e.orEnded(ctx, refuse(ReasonQuotaUnknown, http.StatusServiceUnavailable, otherInstanceRetryAfter, err))
 	}
-	e.credited = true
+	e.quotaCharged = true
 	if wait > 0 && !clock.Sleep(ctx, wait) {
-		return e.orGone(ctx, refuse(ReasonTimeout, http.StatusServiceUnavailable, busyPause, ctx.Err()))
+		return e.orEnded(ctx, refuse(ReasonTimeout, http.StatusServiceUnavailable, busyRetryAfter, ctx.Err()))
 	}
 	return nil
 }
 
-// beginsProgram reports whether the request is the first of its program, as
-// far as is known here: others may have come through other instances.
+// beginsProgram reports whether the request is the first of its program, as far
+// as this instance has recorded: other instances may have served earlier turns.
 func (e *exchange) beginsProgram() bool {
-	return e.spends() && e.call.Previous == "" && !e.entrances.hasStarted(e.program)
+	return e.spendsBudget() && e.call.Previous == "" && !e.serviceQueues.hasStarted(e.program)
 }
--- a/gateway/quota_test.go
+++ b/gateway/quota_test.go
@@ -12,46 +12,46 @@
 	"github.com/wagtaildrum/wagtaildrum/platform/platformtest"
 )
 
-// Guards against requests of an organisation that run beyond its quota, and
-// against one organisation's burst that is refused to another.
-func TestQuotaRefusesWhatIsBeyondIt(t *testing.T) {
-	b := newBed(t)
+// Guards against requests that exceed their organisation's quota, and against
+// refusing one organisation because of another's burst.
+func TestQuotaRefusesExcessRequests(t *testing.T) {
+	b := newFixture(t)
 	logs := &lockedBuffer{}
 	b.logs = logs
 	b.configure(4, platformtest.Organisation{Name: "x", Keys: []string{"secret-x"}, Rate: 1, Burst: 3}, platformtest.Organisation{Name: "y", Keys: []string{"secret-y"}, Rate: 1, Burst: 3})
-	i := b.start()
+	i := b.startInstance()
 	time.Sleep(3200 * time.Millisecond) // the buckets fill
 	statuses := map[int]int{}
 	for n := range 10 {
-		response, _ := i.must(ask{path: "/post/x", id: fmt.Sprint("r", n), body: "b", header: keyed("secret-x", nil)})
+		response, _ := i.mustSend(callerRequest{path: "/post/x", id: fmt.Sprint("r", n), body: "b", header: withKey("secret-x", nil)})
 		statuses[response.StatusCode]++
 		if response.StatusCode == 429 {
 			after, err := strconv.ParseFloat(response.Header.Get("Retry-After"), 64)
 			require.NoError(t, err)
-			assert.Greater(t, after, 0.2, "there is no credit before")
+			assert.Greater(t, after, 0.2, "no credit is available earlier")
 		}
 	}
 	assert.LessOrEqual(t, statuses[200], 5)
 	assert.GreaterOrEqual(t, statuses[200], 3)
 	assert.Equal(t, 10, statuses[200]+statuses[429])
-	assert.Len(t, b.tool.Runs(), statuses[200], "who is refused does not run")
-	response, _ := i.must(ask{path: "/post/x", id: "y", body: "b", header: keyed("secret-y", nil)})
+	assert.Len(t, b.tool.Runs(), statuses[200], "refused requests must not run")
+	response, _ := i.mustSend(callerRequest{path: "/post/x", id: "y", body: "b", header: withKey("secret-y", nil)})
 	assert.Equal(t, 200, response.StatusCode)
 	assert.Contains(t, logs.String(), "rate 1/s, burst 3 of version 4")
 }
 
-// Guards against credit that is lost to requests which no endpoint ran.
-func TestRequestThatDidNotRunGivesItsCreditBack(t *testing.T) {
-	b := newBed(t)
+// Guards against quota that stays charged for requests that no endpoint ran.
+func TestRequestNotRunReturnsQuota(t *testing.T) {
+	b := newFixture(t)
 	b.configure(4, platformtest.Organisation{Name: "x", Keys: []string{"secret-x"}, Rate: 0.5, Burst: 2})
 	b.tool.Behave(func(*platformtest.Run) platformtest.Behaviour { return platformtest.Behaviour{Full: true} })
-	i := b.start()
+	i := b.startInstance()
 	time.Sleep(4200 * time.Millisecond)
 	for n := range 12 {
-		response, _ := i.must(ask{path: "/post/x", id: fmt.Sprint("full", n), body: "b", header: keyed("secret-x", nil)})
+		response, _ := i.mustSend(callerRequest{path: "/post/x", id: fmt.Sprint("full", n), body: "b", header: withKey("secret-x", nil)})
 		require.Equal(t, 503, response.StatusCode)
 	}
 	b.tool.Behave(func(*platformtest.Run) platformtest.Behaviour { return platformtest.Behaviour{} })
-	response, _ := i.must(ask{path: "/post/x", id: "served", body: "b", header: keyed("secret-x", nil)})
+	response, _ := i.mustSend(callerRequest{path: "/post/x", id: "served", body: "b", header: withKey("secret-x", nil)})
 	assert.Equal(t, 200, response.StatusCode)
 }
--- a/gateway/serve.go
+++ b/gateway/serve.go
@@ -21,64 +21,67 @@
 )
 
 const (
-	// startPause is what callers are told to wait while an instance does
-	// not know the configuration yet: it reads it within a second.
-	startPause = 500 * time.Millisecond
-	// storePatience is how long a request waits for a store that is away for
-	// all. Outages last seconds: a caller that is turned away at once has
-	// used all its tries after three of them, one that is kept waiting each
-	// time has some left after eight.
-	storePatience = time.Second
-	// patienceShare of its time is the most that a request waits so: what is
-	// left must do for the answer, or for another try.
-	patienceShare = 0.4
-	// leastGap, or callerObjectives times the route's objective or callerPauses
-	// times its longest pause, is how long a caller waits for the next event of
-	// a stream, the first one too, before it leaves.
-	leastGap         = 2 * time.Second
-	callerObjectives = 4
-	callerPauses     = 8
-	// refusalTime before that a request that still waits for the store or for
-	// another instance is refused: a caller that leaves first is not told when
-	// to come back. The way to it takes some ten milliseconds, and longer on a
-	// busy link.
-	refusalTime = 300 * time.Millisecond
-	// leastCall is what a call to the store is given at least, however long the
-	// request has waited for its turn: one that is slow answers in a quarter of
-	// a second.
-	leastCall = 300 * time.Millisecond
-	// storeRetry is the pause between looks at a store that is away.
-	storeRetry = 60 * time.Millisecond
-	// storePause is what callers are told to wait after that; they wait a
-	// third of their time left at most.
-	storePause = 400 * time.Millisecond
-	// elsewherePause is what callers are told to wait by an instance that is
-	// cut off: their next try reaches another one.
-	elsewherePause = 20 * time.Millisecond
-	// busyPause is what callers are told to wait when endpoints are full:
-	// about the time in which half the places come free.
-	busyPause = 150 * time.Millisecond
-	// heldPause is what callers are told to wait for budget that another
-	// instance gives back; it does so within half a second.
-	heldPause = 300 * time.Millisecond
-	// writeSlack is how long after a request's deadline its answer may
-	// still be written to a caller that reads slowly.
-	writeSlack = time.Second
-	// discardTime bounds reading the rest of a refused request's body: one
-	// within the limits takes 20 ms on the slowest link met, of 30 Mbit/s.
-	discardTime = time.Second
-	// maxBody is the limit of bodies if the configuration names none.
-	maxBody = 4 << 20
+	// startupRetryAfter is the retry delay while an instance has no
+	// configuration yet; it reads the configuration within a second.
+	startupRetryAfter = 500 * time.Millisecond
+	// maxStoreWait bounds how long a request waits for a store that is
+	// unavailable to all instances. Outages last seconds: a caller that is
+	// refused at once has used all its attempts after three refusals, while one
+	// that waits each time has some remaining after eight.
+	maxStoreWait = time.Second
+	// maxStoreWaitShare bounds that wait as a share of the request's time. The
+	// remainder must suffice for the response or for another attempt.
+	maxStoreWaitShare = 0.4
+	// minEventTimeout, objectiveFactor times the route's objective, or
+	// pauseFactor times the route's longest pause, whichever is greatest, is
+	// how long a caller waits for the next event of a stream, including the
+	// first, before it disconnects.
+	minEventTimeout = 2 * time.Second
+	objectiveFactor = 4
+	pauseFactor     = 8
+	// refusalMargin is how long before the caller's event timeout a request
+	// that still waits for the store or another instance is refused. A caller
+	// that disconnects first receives no retry delay. The refusal takes some
+	// ten milliseconds to arrive, more on a busy link.
+	refusalMargin = 300 * time.Millisecond
+	// minStoreTimeout is the minimum timeout of calls to the store, however
+	// long the request has waited in the queue. A slow store responds within a
+	// quarter of a second.
+	minStoreTimeout = 300 * time.Millisecond
+	// storeRetryInterval is the delay between calls to an unavailable store.
+	storeRetryInterval = 60 * time.Millisecond
+	// storeRetryAfter is the retry delay while the store is unavailable.
+	// Callers limit a delay to a third of their remaining time.
+	storeRetryAfter = 400 * time.Millisecond
+	// otherInstanceRetryAfter is the retry delay given by a partitioned
+	// instance. It is short because the next attempt reaches another instance.
+	otherInstanceRetryAfter = 20 * time.Millisecond
+	// busyRetryAfter is the retry delay when endpoints are full. About half of
+	// the slots become free in that time.
+	busyRetryAfter = 150 * time.Millisecond
+	// heldBudgetRetryAfter is the retry delay while another instance holds the
+	// budget; it releases the budget within half a second.
+	heldBudgetRetryAfter = 300 * time.Millisecond
+	// writeGrace is how long after a request's deadline its response may still
+	// be written to a caller that reads slowly.
+	writeGrace = time.Second
+	// discardTimeout bounds reading the remaining body of a refused request. A
+	// body within the limits takes 20 ms on the slowest link seen, of 30
+	// Mbit/s.
+	discardTimeout = time.Second
+	// defaultMaxBody is the body size limit in bytes if the configuration sets
+	// none.
+	defaultMaxBody = 4 << 20
 )
 
-// The latency histograms reach from 1 ms to 16 s.
+// The buckets of the latency histograms range from 1 ms to 16 s.
 const (
-	latencyLowest  = time.Millisecond
+	minLatency     = time.Millisecond
 	latencyFactor  = 2
 	latencyBuckets = 15
 )
 
-// exchange is one request on its way through the gateway.
+// exchange holds the state of one request and its response.
 type exchange struct {
 	*Gateway
 	w http.ResponseWriter
@@ -87,55 +90,69 @@
 	call  *Call
 	table *route.Table
 	route *route.Route
-	// organisation is the caller's, nil for one without a key. program names
-	// the program among those of all organisations.
+	// organisation is the caller's organisation; nil for a caller without a
+	// key. program is the program's name, qualified by the organisation.
 	organisation *route.Organisation
 	program      string
-	service      string
-	arrived      time.Time
-	until        time.Time
-	body         []byte
-	prompt       []byte
-
-	// held is the memory counted for the request's body and prompt.
-	held        int64
-	chain       []*history.Turn
+	// service is the name of the service chosen from the route's targets.
+	service  string
+	arrived  time.Time
+	deadline time.Time
+	// body is the request's body; prompt is what endpoints receive, the body
+	// preceded by the conversation if the route keeps history.
+	body   []byte
+	prompt []byte
+
+	// memoryUsed is the number of bytes reserved for the body and the prompt.
+	memoryUsed int64
+	// chain holds the earlier turns of the conversation, the oldest first.
+	chain []*history.Turn
+	// reservation is the budget reserved for the turn; nil for a request that
+	// spends none.
 	reservation *account.Reservation
 
-	// credited is set once the request counts into its organisation's quota.
-	credited bool
-	// entrance is the way to the service, queued the wait there.
-	entrance *entrance
-	priority int
-	queued   time.Duration
-
-	// tried are the endpoints that were offered the request; runs counts
-	// those that may have run it.
+	// quotaCharged is set once the request is charged to the organisation's
+	// quota.
+	quotaCharged bool
+	// serviceQueue is the service's admission queue, and queueTime the time the
+	// request waited in it.
+	serviceQueue *serviceQueue
+	// priority is the rank of the program's turns; 0 is the highest.
+	priority  int
+	queueTime time.Duration
+
+	// tried lists the IDs of the endpoints tried. runs counts those that may
+	// have run the request.
 	tried []string
 	runs  int
-	// asked is the start of the endpoint that was asked last.
-	asked string
-	// opening is the answer that a stream begins with. received counts its events,
-	// also those that are still in the outbox; events are their data, if the turn
-	// is to be kept, lastEvent the ID of the last one.
-	opening   *upstream.Response
-	received  int64
-	events    [][]byte
-	lastEvent string
-	outbox    *outbox
-	// heldBack tells that an event was not given to the caller at once.
+	// incarnation identifies the incarnation of the endpoint tried last.
+	incarnation string
+	// firstResponse is the response whose head the caller's stream has.
+	// received counts the events of the stream, including those in eventBuffer.
+	// eventData holds the data of these events if the turn is to be stored, and
+	// lastEventID the ID of the latest.
+	firstResponse *upstream.Response
+	received      int64
+	eventData     [][]byte
+	lastEventID   string
+	eventBuffer   *eventBuffer
+	// heldBack is set once an event was held back from the caller.
 	heldBack bool
-	// What the caller was given: the head of an answer, and how many events.
-	answered  bool
-	status    int
-	count     int64
-	first     time.Duration
+	// The following fields describe what the caller was sent: whether the head
+	// was written, its status, the number of events, and the time from the
+	// request's arrival to the first event.
+	headWritten      bool
+	status           int
+	eventsSent       int64
+	timeToFirstEvent time.Duration
+	// lastError is the error of the latest endpoint that did not serve the
+	// request; it is logged.
 	lastError error
 }
 
-// ServeHTTP serves one request: it finds its route, waits for its turn,
-// reserves its budget, rebuilds its prompt, has an endpoint answer it, and
-// keeps the turn.
+// ServeHTTP serves one request: it matches the route, charges the quota, waits
+// for admission, reserves budget, rebuilds the prompt, relays an endpoint's
+// response, and stores the turn.
 func (gateway *Gateway) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	gateway.inFlight.Add(1)
 	defer gateway.inFlight.Add(-1)
@@ -144,38 +161,42 @@
 	e.finish(e.serve())
 }
 
+// serve serves the request. It returns a *refusal if the gateway refused it or
+// aborted its response.
 func (e *exchange) serve() error {
 	defer e.settle()
 	if err := e.accept(); err != nil {
 		return err
 	}
-	ctx, cancel := context.WithDeadline(e.r.Context(), e.until)
+	ctx, cancel := context.WithDeadline(e.r.Context(), e.deadline)
 	defer cancel()
 	if err := e.run(ctx); err != nil {
 		return err
 	}
-	return e.keep(ctx)
+	return e.storeTurn(ctx)
 }
 
-// settle gives back the memory and the budget that the request does not use,
-// also if it ends with a panic.
+// settle releases the request's memory, records the tokens spent, and returns
+// the quota of a request that did not run. It is deferred, so it also runs
+// after a panic.
 func (e *exchange) settle() {
-	e.bodies.Add(-e.held)
+	e.bodyMemory.Add(-e.memoryUsed)
 	if e.reservation != nil {
-		e.reservation.Settle(e.spent())
+		e.reservation.Settle(e.spentTokens())
 	}
-	if e.credited && e.runs == 0 {
+	if e.quotaCharged && e.runs == 0 {
 		e.Quotas.Return(e.organisation.Name)
 	}
 }
 
-// run has the request run once it is its turn. Only then is the store asked
-// for what it needs: one that is turned away costs no call.
+// run charges the quota, waits for admission and has an endpoint serve the
+// request. It calls the store only after admission, so that a rejected request
+// costs no store call.
 func (e *exchange) run(ctx context.Context) error {
-	if e.spends() && e.Accounts.KnownSpent(e.program, e.call.MaxTokens, e.call.Budget) {
+	if e.spendsBudget() && e.Accounts.KnownSpent(e.program, e.call.MaxTokens, e.call.Budget) {
 		return refuse(ReasonSpent, http.StatusPaymentRequired, 0, nil)
 	}
-	if err := e.credit(ctx); err != nil {
+	if err := e.chargeQuota(ctx); err != nil {
 		return err
 	}
 	release, err := e.admit(ctx)
@@ -183,25 +204,26 @@
 		return err
 	}
 	defer release()
-	// The budget first: a program that loops is refused by it many times, and
-	// mostly from memory, where its conversation takes a call for each turn of
-	// it.
+	// Reserve budget before reading the history. The budget refuses a looping
+	// program many times, mostly from memory, whereas reading the conversation
+	// takes one call per turn.
 	if err := e.reserve(ctx); err != nil {
 		return err
 	}
 	if err := e.rebuild(ctx); err != nil {
 		return err
 	}
-	if err := e.offer(ctx); err != nil {
+	if err := e.dispatch(ctx); err != nil {
 		return err
 	}
-	if e.spends() {
-		e.noteServed()
+	if e.spendsBudget() {
+		e.recordServed()
 	}
 	return nil
 }
 
-// accept reads the request and finds its route.
+// accept decodes the headers, matches the route, authenticates the caller and
+// reads the body.
 func (e *exchange) accept() error {
 	call, err := e.Dialect.Decode(e.r.Header)
 	if err != nil {
@@ -210,14 +232,14 @@
 	e.call = call
 	e.table = e.Routes.Load()
 	if e.table == nil {
-		return refuse(ReasonNoConfiguration, http.StatusServiceUnavailable, startPause, nil)
+		return refuse(ReasonNoConfiguration, http.StatusServiceUnavailable, startupRetryAfter, nil)
 	}
 	e.route = e.table.Match(e.r.Host, e.path())
 	if e.route == nil {
 		return refuse(ReasonNoRoute, http.StatusNotFound, 0, nil)
 	}
-	e.outbox = newOutbox(e.arrived, e.callerGap())
-	if err := e.identify(); err != nil {
+	e.eventBuffer = newEventBuffer(e.arrived, e.eventTimeout())
+	if err := e.authenticate(); err != nil {
 		return err
 	}
 	e.service = e.route.Pick()
@@ -225,41 +247,42 @@
 	if call.Deadline > 0 {
 		wait = min(wait, call.Deadline)
 	}
-	e.until = e.arrived.Add(wait)
-	// A caller that does not read must not hold the request for ever. Not
-	// all connections can be told; then the caller's end is waited for.
-	_ = http.NewResponseController(e.w).SetWriteDeadline(e.until.Add(writeSlack))
+	e.deadline = e.arrived.Add(wait)
+	// A caller that does not read must not hold the request forever.
+	// Connections without write deadlines end when the caller closes them.
+	_ = http.NewResponseController(e.w).SetWriteDeadline(e.deadline.Add(writeGrace))
 	return e.readBody()
 }
 
-// identify finds the organisation of the caller by its key. A caller that
-// another instance may know is sent there: this one, cut off, may have missed
-// a key.
-func (e *exchange) identify() error {
+// authenticate finds the caller's organisation by its key. If the route needs a
+// key and it is unknown, a partitioned instance refuses with 503, so that the
+// caller retries at another instance: this one may have missed a new key.
+func (e *exchange) authenticate() error {
 	e.program = e.call.Program
 	e.organisation = e.table.Organisation(e.call.Key)
 	switch {
 	case e.organisation != nil:
-		e.program = scoped(e.organisation.Name, e.call.Program)
-	case e.table.NeedsKey(e.route) && e.cutOff():
-		return refuse(ReasonUnknownKey, http.StatusServiceUnavailable, elsewherePause, nil)
+		e.program = scopedProgram(e.organisation.Name, e.call.Program)
+	case e.table.NeedsKey(e.route) && e.partitioned():
+		return refuse(ReasonUnknownKey, http.StatusServiceUnavailable, otherInstanceRetryAfter, nil)
 	case e.table.NeedsKey(e.route):
 		return refuse(ReasonUnknownKey, http.StatusUnauthorized, 0, nil)
 	}
 	return nil
 }
 
-// scoped returns the name of an organisation's program among those of all:
-// callers choose the names of programs, and must not reach another
-// organisation's budget by its name.
-func scoped(organisation, program string) string {
+// scopedProgram returns the program's name qualified by its organisation.
+// Callers choose program names, and must not reach another organisation's
+// budget by using one of its names.
+func scopedProgram(organisation, program string) string {
 	if program == "" {
 		return ""
 	}
 	return url.PathEscape(organisation) + "/" + program
 }
 
-// organisationName returns "" for a caller without a key.
+// organisationName returns the name of the caller's organisation, or "" for a
+// caller without a key.
 func (e *exchange) organisationName() string {
 	if e.organisation == nil {
 		return ""
@@ -267,32 +290,36 @@
 	return e.organisation.Name
 }
 
-// path returns the path as the caller sent it.
+// path returns the path exactly as the caller sent it, still escaped and
+// without the query.
 func (e *exchange) path() string {
 	path, _, _ := strings.Cut(e.r.RequestURI, "?")
 	return path
 }
 
-// holdBody counts the body's memory in, or refuses the request: a process
-// that takes more memory than it has is killed, with all that it serves.
-func (e *exchange) holdBody(size int64) error {
-	e.held += size
-	if e.bodies.Add(size) > e.BodyBytes && e.BodyBytes > 0 {
-		return refuse(ReasonNoMemory, http.StatusServiceUnavailable, busyPause, nil)
+// reserveMemory reserves memory for a body or prompt, or refuses the request if
+// the limit is exceeded. A process that exceeds its memory is killed together
+// with all its requests.
+func (e *exchange) reserveMemory(size int64) error {
+	e.memoryUsed += size
+	if e.bodyMemory.Add(size) > e.BodyBytes && e.BodyBytes > 0 {
+		return refuse(ReasonNoMemory, http.StatusServiceUnavailable, busyRetryAfter, nil)
 	}
 	return nil
 }
 
+// readBody reads the request's body. It returns a *refusal if the body exceeds
+// the size limit, the memory for bodies is exhausted, or reading fails.
 func (e *exchange) readBody() error {
 	limit := e.table.Limits().BodyBytes
 	if limit <= 0 {
-		limit = maxBody
+		limit = defaultMaxBody
 	}
 	if e.r.ContentLength > limit {
 		return refuse(ReasonTooLarge, http.StatusRequestEntityTooLarge, 0, nil)
 	}
 	if e.r.ContentLength >= 0 {
-		if err := e.holdBody(e.r.ContentLength); err != nil {
+		if err := e.reserveMemory(e.r.ContentLength); err != nil {
 			return err
 		}
 		e.body = make([]byte, e.r.ContentLength)
@@ -301,14 +328,14 @@
 		}
 		return nil
 	}
-	body, err := io.ReadAll(&heldReader{exchange: e, body: http.MaxBytesReader(e.w, e.r.Body, limit)})
+	body, err := io.ReadAll(&meteredReader{exchange: e, body: http.MaxBytesReader(e.w, e.r.Body, limit)})
 	var tooLarge *http.MaxBytesError
 	if errors.As(err, &tooLarge) {
 		return refuse(ReasonTooLarge, http.StatusRequestEntityTooLarge, 0, err)
 	}
-	var own *refusal
-	if errors.As(err, &own) {
-		return own
+	var rejection *refusal
+	if errors.As(err, &rejection) {
+		return rejection
 	}
 	if err != nil {
 		return refuse(ReasonBadRequest, http.StatusBadRequest, 0, err)
@@ -317,34 +344,35 @@
 	return nil
 }
 
-// heldReader counts the memory of a body of unknown length as it comes.
-type heldReader struct {
+// meteredReader reserves memory for a body of unknown length while it is read.
+type meteredReader struct {
 	exchange *exchange
 	body     io.Reader
 }
 
-// Read returns the refusal of holdBody if there is no memory left.
-func (reader *heldReader) Read(p []byte) (int, error) {
+// Read implements io.Reader. It returns the refusal of reserveMemory if the
+// memory limit is exceeded.
+func (reader *meteredReader) Read(p []byte) (int, error) {
 	n, err := reader.body.Read(p)
-	if held := reader.exchange.holdBody(int64(n)); held != nil {
-		return n, held
+	if refused := reader.exchange.reserveMemory(int64(n)); refused != nil {
+		return n, refused
 	}
 	return n, err
 }
 
-// rebuild puts the conversation before the new input of a turn.
+// rebuild sets the prompt to the conversation so far followed by the new input.
 func (e *exchange) rebuild(ctx context.Context) error {
 	e.prompt = e.body
-	if e.route.KeepsHistory && e.cutOff() {
-		// The turn could not be kept: the engine's work would be lost.
-		return e.storeAway(nil)
+	if e.route.KeepsHistory && e.partitioned() {
+		// The turn could not be stored, and the engine's work would be lost.
+		return e.storeUnavailable(nil)
 	}
 	if !e.route.KeepsHistory || e.call.Previous == "" {
 		return nil
 	}
 	var chain []*history.Turn
-	err := e.patiently(ctx, func(ctx context.Context) (err error) {
-		chain, err = e.Archive.Chain(ctx, e.organisationName(), e.call.Previous, e.holder())
+	err := e.retryStore(ctx, func(ctx context.Context) (err error) {
+		chain, err = e.Archive.Chain(ctx, e.organisationName(), e.call.Previous, e.previousInstance())
 		return err
 	})
 	var unknown *archive.UnknownTurnError
@@ -352,18 +380,18 @@
 	case errors.As(err, &unknown):
 		return refuse(ReasonUnknownTurn, http.StatusNotFound, 0, err)
 	case err != nil:
-		return e.orGone(ctx, e.storeAway(err))
+		return e.orEnded(ctx, e.storeUnavailable(err))
 	}
 	e.chain = chain
 	e.prompt = history.Prompt(chain, e.body)
-	return e.holdBody(int64(len(e.prompt)))
+	return e.reserveMemory(int64(len(e.prompt)))
 }
 
-// holder returns the instance that served the turn before, "" if that is not
-// another one, or is not known. While the store is away nobody is asked: the
-// turn waits for the store, which it needs to be kept, before an engine runs it
-// and not after.
-func (e *exchange) holder() string {
+// previousInstance returns the instance that served the previous turn, or "" if
+// it is this one or unknown. While the store is unavailable it returns "", so
+// that the turn waits for the store before an engine runs it and not after; the
+// turn needs the store anyway to be kept.
+func (e *exchange) previousInstance() string {
 	if e.reservation == nil || e.Durability.Away() {
 		return ""
 	}
@@ -374,66 +402,70 @@
 	return places[len(places)-1].Instance
 }
 
-// patiently calls f again while the store does not serve it, for
-// storePatience from the request's arrival, and ends a call under way before
-// the caller leaves. An instance that is cut off does not wait: another one can
-// serve the request.
-func (e *exchange) patiently(ctx context.Context, f func(ctx context.Context) error) error {
-	patience := min(storePatience, time.Duration(patienceShare*float64(e.until.Sub(e.arrived))))
-	limit := max(e.arrived.Add(e.callerGap()-refusalTime).Sub(e.Clock.Now()), leastCall)
-	ctx, cancel := context.WithTimeout(ctx, limit)
+// retryStore calls f until the store serves it, for at most maxStoreWait since
+// the request arrived. It cancels f before the caller's event timeout. A
+// partitioned instance does not retry, because another instance can serve the
+// request.
+func (e *exchange) retryStore(ctx context.Context, f func(ctx context.Context) error) error {
+	maxWait := min(maxStoreWait, time.Duration(maxStoreWaitShare*float64(e.deadline.Sub(e.arrived))))
+	timeout := max(e.arrived.Add(e.eventTimeout()-refusalMargin).Sub(e.Clock.Now()), minStoreTimeout)
+	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	for {
 		err := f(ctx)
-		if !store.Unserved(err) || e.cutOff() || e.Clock.Now().Sub(e.arrived) >= patience {
+		if !store.Unserved(err) || e.partitioned() || e.Clock.Now().Sub(e.arrived) >= maxWait {
 			return err
 		}
-		if !clock.Sleep(ctx, storeRetry) {
+		if !clock.Sleep(ctx, storeRetryInterval) {
 			return err
 		}
 	}
 }
 
-// callerGap returns how long the caller waits for an event of the answer.
-func (e *exchange) callerGap() time.Duration {
-	return max(leastGap, callerObjectives*e.route.Objective, callerPauses*e.route.Pause)
+// eventTimeout returns how long the caller waits for the next event of the
+// response.
+func (e *exchange) eventTimeout() time.Duration {
+	return max(minEventTimeout, objectiveFactor*e.route.Objective, pauseFactor*e.route.Pause)
 }
 
-// storeAway returns the refusal of a request that needs the store.
-func (e *exchange) storeAway(err error) *refusal {
-	pause := storePause
-	if e.cutOff() {
-		pause = elsewherePause
+// storeUnavailable returns the refusal of a request that needs the store.
+func (e *exchange) storeUnavailable(err error) *refusal {
+	retryAfter := storeRetryAfter
+	if e.partitioned() {
+		retryAfter = otherInstanceRetryAfter
 	}
-	return refuse(ReasonStoreAway, http.StatusServiceUnavailable, pause, err)
+	return refuse(ReasonStoreAway, http.StatusServiceUnavailable, retryAfter, err)
 }
 
-// spends reports whether the request spends from a program's budget.
-func (e *exchange) spends() bool {
+// spendsBudget reports whether the request is a turn that spends a program's
+// budget.
+func (e *exchange) spendsBudget() bool {
 	return e.route != nil && e.route.Kind == route.KindStream && e.call.Program != "" && e.call.Budget > 0
 }
 
-// reserve makes the most that a turn can spend durable.
+// reserve durably reserves budget for a turn, which may be a partial grant, and
+// passes the cache locations of the program's earlier turns to the picker. It
+// does nothing for a request that spends no budget.
 func (e *exchange) reserve(ctx context.Context) error {
-	if !e.spends() {
+	if !e.spendsBudget() {
 		return nil
 	}
 	began := e.Clock.Now()
 	var reservation *account.Reservation
-	err := e.patiently(ctx, func(ctx context.Context) (err error) {
-		reservation, err = e.Accounts.Reserve(ctx, e.program, e.call.MaxTokens, e.call.Budget, e.ownParts()...)
+	err := e.retryStore(ctx, func(ctx context.Context) (err error) {
+		reservation, err = e.Accounts.Reserve(ctx, e.program, e.call.MaxTokens, e.call.Budget, e.ownSegments()...)
 		return err
 	})
 	e.metrics.reserve.RecordDuration(e.Clock.Now().Sub(began))
-	var spent *account.SpentError
-	var held *account.HeldError
+	var spentErr *account.SpentError
+	var heldErr *account.HeldError
 	switch {
-	case errors.As(err, &spent):
+	case errors.As(err, &spentErr):
 		return refuse(ReasonSpent, http.StatusPaymentRequired, 0, err)
-	case errors.As(err, &held):
-		return refuse(ReasonBudgetHeld, http.StatusServiceUnavailable, heldPause, err)
+	case errors.As(err, &heldErr):
+		return refuse(ReasonBudgetHeld, http.StatusServiceUnavailable, heldBudgetRetryAfter, err)
 	case err != nil:
-		return e.orGone(ctx, e.storeAway(err))
+		return e.orEnded(ctx, e.storeUnavailable(err))
 	}
 	e.reservation = reservation
 	for _, place := range reservation.Places() {
@@ -442,30 +474,33 @@
 	return nil
 }
 
-// ownParts returns the IDs of the prompt's parts that belong to the program;
-// the first is shared with others.
-func (e *exchange) ownParts() []string {
+// ownSegments returns the IDs of the prompt segments that belong to the
+// program. The first segment is shared with other programs.
+func (e *exchange) ownSegments() []string {
 	var ids []string
-	for i, part := range e.call.Parts {
+	for i, segment := range e.call.Parts {
 		if i > 0 {
-			ids = append(ids, part.ID)
+			ids = append(ids, segment.ID)
 		}
 	}
 	return ids
 }
 
-// noteServed notes that an endpoint served the turn, and keeps its prompt.
-func (e *exchange) noteServed() {
-	e.entrances.started(e.program, e.priority)
-	if parts := e.call.Parts; len(parts) > 1 {
-		last := parts[len(parts)-1]
-		e.reservation.KeptAt(account.Place{Part: last.ID, Endpoint: e.asked, Tokens: last.Tokens + e.received*e.eventTokens(), Instance: e.Instance})
+// recordServed records that an endpoint served the turn and where the turn's
+// prompt is cached.
+func (e *exchange) recordServed() {
+	e.serviceQueues.started(e.program, e.priority)
+	if segments := e.call.Parts; len(segments) > 1 {
+		last := segments[len(segments)-1]
+		e.reservation.KeptAt(account.Place{Part: last.ID, Endpoint: e.incarnation, Tokens: last.Tokens + e.received*e.eventTokens(), Instance: e.Instance})
 	}
 }
 
-// spent returns how many tokens the caller was handed.
-func (e *exchange) spent() int64 { return e.count * e.eventTokens() }
+// spentTokens returns the number of tokens sent to the caller.
+func (e *exchange) spentTokens() int64 { return e.eventsSent * e.eventTokens() }
 
+// eventTokens returns the number of tokens that each event of the service's
+// streams stands for; 0 if the service has no model.
 func (e *exchange) eventTokens() int64 {
 	if service := e.table.Service(e.service); service != nil && service.Model != nil {
 		return service.Model.EventTokens
@@ -473,86 +508,90 @@
 	return 0
 }
 
-// keep makes an answered turn durable before the caller learns that it is
-// whole: the end of the answer is written only after this returns nil. Events that
-// are held back keep the caller meanwhile.
-func (e *exchange) keep(ctx context.Context) error {
+// storeTurn makes a served turn durable. The end of the stream is written only
+// after storeTurn returns nil, so a caller never receives a complete response
+// to a turn that could be lost. Held-back events are sent meanwhile to keep the
+// caller connected.
+func (e *exchange) storeTurn(ctx context.Context) error {
 	if !e.route.KeepsHistory || e.status != http.StatusOK || e.route.Kind != route.KindStream {
 		return nil
 	}
-	turn := &history.Turn{ID: e.call.ID, Organisation: e.organisationName(), Input: e.body, Events: e.events}
+	turn := &history.Turn{ID: e.call.ID, Organisation: e.organisationName(), Input: e.body, Events: e.eventData}
 	if len(e.chain) > 0 {
 		turn.Ancestors = e.chain[len(e.chain)-1].Chain()
 	}
 	began := e.Clock.Now()
-	err := e.whileWaiting(ctx, func(ctx context.Context) error { return e.Archive.Keep(ctx, turn) })
-	e.metrics.keep.RecordDuration(e.Clock.Now().Sub(began))
+	err := e.runWithKeepAlive(ctx, func(ctx context.Context) error { return e.Archive.Keep(ctx, turn) })
+	e.metrics.storeTurn.RecordDuration(e.Clock.Now().Sub(began))
 	if err != nil {
 		return refuse(ReasonNotKept, http.StatusBadGateway, 0, err)
 	}
-	_ = e.give(e.outbox.takeAll(e.Clock.Now())) // the caller may be gone; the turn is kept
+	_ = e.writeEvents(e.eventBuffer.takeAll(e.Clock.Now())) // the caller may be gone; the turn is stored
 	return nil
 }
 
-// orGone returns err, or why the request ended if it did.
-func (e *exchange) orGone(ctx context.Context, err error) error {
+// orEnded returns a refusal if the caller disconnected or ctx ended, and err
+// otherwise.
+func (e *exchange) orEnded(ctx context.Context, err error) error {
 	switch {
 	case e.r.Context().Err() != nil:
 		return refuse(ReasonCallerGone, http.StatusBadGateway, 0, e.r.Context().Err())
 	case ctx.Err() != nil && e.runs > 0:
 		return refuse(ReasonTimeout, http.StatusGatewayTimeout, 0, ctx.Err())
 	case ctx.Err() != nil:
-		return refuse(ReasonTimeout, http.StatusServiceUnavailable, busyPause, ctx.Err())
+		return refuse(ReasonTimeout, http.StatusServiceUnavailable, busyRetryAfter, ctx.Err())
 	}
 	return err
 }
 
-// finish answers a request that was not served, and logs how it ended.
+// finish records metrics, logs the request, and sends the refusal of one that
+// was not served.
 func (e *exchange) finish(err error) {
 	took := e.Clock.Now().Sub(e.arrived)
 	e.metrics.latency.RecordDuration(took)
 	reason := ReasonNone
-	var own *refusal
-	if errors.As(err, &own) {
-		reason = own.reason
+	var rejection *refusal
+	if errors.As(err, &rejection) {
+		reason = rejection.reason
 		e.metrics.refused[reason].Inc(1)
-		if !e.answered {
-			e.status = own.status
+		if !e.headWritten {
+			e.status = rejection.status
 		}
 	} else {
 		e.metrics.served.Inc(1)
 	}
 	e.log(reason, took, err)
-	if own == nil {
+	if rejection == nil {
 		return
 	}
-	if e.answered || reason == ReasonCallerGone {
-		// The connection breaks off, so that what was given does not look
-		// whole.
+	if e.headWritten || reason == ReasonCallerGone {
+		// Abort the connection, so that the partial response does not look
+		// complete.
 		panic(http.ErrAbortHandler)
 	}
-	e.endConnection()
+	e.setConnectionClose()
 	e.discardBody()
-	own.write(e.w)
+	rejection.write(e.w)
 }
 
-// discardBody reads what is left of the request's body, up to what a
-// configuration allows. A connection that is closed with unread bytes is
-// reset, and the caller that still sends may never see the refusal: it must
-// take the request for one that may have run.
+// discardBody reads the remaining request body, up to defaultMaxBody. Closing a
+// connection with unread bytes resets it; a caller that is still sending might
+// never read the refusal and would have to assume that the request ran.
 func (e *exchange) discardBody() {
-	_ = http.NewResponseController(e.w).SetReadDeadline(e.Clock.Now().Add(discardTime)) // a test's recorder has none
-	_, _ = io.Copy(io.Discard, io.LimitReader(e.r.Body, maxBody))                       // the caller may be gone
+	_ = http.NewResponseController(e.w).SetReadDeadline(e.Clock.Now().Add(discardTimeout)) // not supported by test recorders
+	_, _ = io.Copy(io.Discard, io.LimitReader(e.r.Body, defaultMaxBody))                   // the caller may be gone
 }
 
-// endConnection has the answer end its connection while the instance drains
-// or is cut off, so that the caller's next request goes elsewhere.
-func (e *exchange) endConnection() {
-	if e.draining.Load() || e.cutOff() {
+// setConnectionClose makes the response close its connection while the instance
+// drains or is partitioned, so that the caller's next request reaches another
+// instance.
+func (e *exchange) setConnectionClose() {
+	if e.draining.Load() || e.partitioned() {
 		e.w.Header().Set("Connection", "close")
 	}
 }
 
+// log writes one line about how the request ended.
 func (e *exchange) log(reason Reason, took time.Duration, err error) {
 	attrs := []slog.Attr{slog.Int("status", e.status), slog.String("reason", reason.String()), slog.Duration("took", took)}
 	if e.call != nil {
@@ -562,16 +601,16 @@
 		attrs = append(attrs, slog.String("organisation", e.organisation.Name))
 	}
 	if e.route != nil {
-		attrs = append(attrs, slog.String("route", e.route.Name), slog.Uint64("configuration", e.table.Version()), slog.Time("until", e.until))
+		attrs = append(attrs, slog.String("route", e.route.Name), slog.Uint64("configuration", e.table.Version()), slog.Time("until", e.deadline))
 	}
 	if len(e.tried) > 0 {
 		attrs = append(attrs, slog.Any("endpoints", e.tried), slog.Int("runs", e.runs))
 	}
-	if e.queued >= time.Millisecond {
-		attrs = append(attrs, slog.Duration("queued", e.queued), slog.Int("priority", e.priority))
+	if e.queueTime >= time.Millisecond {
+		attrs = append(attrs, slog.Duration("queued", e.queueTime), slog.Int("priority", e.priority))
 	}
-	if e.spends() {
-		attrs = append(attrs, slog.Int64("budget", e.call.Budget), slog.Int64("most", e.call.MaxTokens), slog.Int64("spent", e.spent()), slog.Duration("first", e.first))
+	if e.spendsBudget() {
+		attrs = append(attrs, slog.Int64("budget", e.call.Budget), slog.Int64("most", e.call.MaxTokens), slog.Int64("spent", e.spentTokens()), slog.Duration("first", e.timeToFirstEvent))
 		if e.reservation != nil {
 			attrs = append(attrs, slog.Int64("promised", e.reservation.Promised()), slog.Uint64("budget_version", e.reservation.Version), slog.String("budget_home", e.reservation.Home()))
 		}
@@ -591,7 +630,8 @@
 	e.Log.LogAttrs(context.Background(), slog.LevelInfo, "request", attrs...)
 }
 
-// balanceRequest returns what the choice of an endpoint depends on.
+// balanceRequest returns the properties of the request that the picker uses to
+// choose an endpoint.
 func (e *exchange) balanceRequest() *balance.Request {
 	request := &balance.Request{DataCentre: e.DataCentre, Parts: e.call.Parts}
 	if service := e.table.Service(e.service); service != nil && service.Model != nil {
--- a/gateway/stream.go
+++ b/gateway/stream.go
@@ -15,198 +15,204 @@
 	"github.com/wagtaildrum/wagtaildrum/upstream"
 )
 
-// heldRetry is the pause between looks for budget that other turns hold:
-// a turn takes half a second, and each look some six reads of the store.
-const heldRetry = 300 * time.Millisecond
-
-// relayStream passes whole events on as they come, or holds them back while the
-// answer may not be handed out whole. An event that an endpoint did not end is
-// never given to the caller, so that another can go on after the one before.
+// heldBudgetRetryInterval is the delay between requests for budget that other
+// turns hold. A turn takes half a second, and each request about six reads of
+// the store.
+const heldBudgetRetryInterval = 300 * time.Millisecond
+
+// relayStream relays complete events as they arrive, or holds them back while it
+// is unknown whether the response can be delivered completely. A truncated
+// event is never sent, so another endpoint can resume after the last complete
+// one.
 func (e *exchange) relayStream(ctx context.Context, response *upstream.Response) (balance.Outcome, error) {
 	reader := eventstream.NewReader(response.Body)
 	for {
-		event, err := e.next(ctx, reader)
+		event, err := e.nextEvent(ctx, reader)
 		switch {
 		case err == io.EOF:
-			e.open(response)
-			return balance.OutcomeServed, e.endStream()
+			e.setFirstResponse(response)
+			return balance.OutcomeServed, e.finishStream()
 		case err != nil && ctx.Err() != nil:
 			return balance.OutcomeAbandoned, err
 		case err != nil:
 			return balance.OutcomeBroken, err
 		}
-		e.open(response)
-		if err := e.afford(ctx, event); err != nil {
+		e.setFirstResponse(response)
+		if err := e.ensureBudget(ctx, event); err != nil {
 			return balance.OutcomeAbandoned, err
 		}
-		if err := e.pass(event); err != nil {
+		if err := e.relayEvent(event); err != nil {
 			return balance.OutcomeAbandoned, err
 		}
 	}
 }
 
-// next returns the stream's next event. Events that are held back keep the caller
-// of an endpoint that pauses.
-func (e *exchange) next(ctx context.Context, reader *eventstream.Reader) (event eventstream.Event, err error) {
-	err = e.whileWaiting(ctx, func(context.Context) error {
+// nextEvent returns the next event of the stream. While the endpoint pauses, it
+// sends held-back events to keep the caller connected.
+func (e *exchange) nextEvent(ctx context.Context, reader *eventstream.Reader) (event eventstream.Event, err error) {
+	err = e.runWithKeepAlive(ctx, func(context.Context) error {
 		var err error
-		event, err = reader.Next() // ends with the answer's connection, and that with ctx
+		event, err = reader.Next() // fails when ctx ends, which closes the response
 		return err
 	})
 	return event, err
 }
 
-// open notes the answer that the caller's stream begins with.
-func (e *exchange) open(response *upstream.Response) {
-	if e.opening == nil {
-		e.opening, e.status = response, response.Status
+// setFirstResponse records the response whose head the caller's stream gets.
+func (e *exchange) setFirstResponse(response *upstream.Response) {
+	if e.firstResponse == nil {
+		e.firstResponse, e.status = response, response.Status
 	}
 }
 
-// endStream gives the caller what is held back of an answer that is whole, if its
-// turn need not be kept first.
-func (e *exchange) endStream() error {
-	if e.route.KeepsHistory && e.holdsBack() {
+// finishStream sends the held-back events of a complete response. If the turn
+// must be stored first, storeTurn sends them.
+func (e *exchange) finishStream() error {
+	if e.route.KeepsHistory && e.mustHoldBack() {
 		return nil
 	}
-	return e.give(e.outbox.takeAll(e.Clock.Now()))
+	return e.writeEvents(e.eventBuffer.takeAll(e.Clock.Now()))
 }
 
-// holdsBack reports whether the answer may not be handed out whole: its budget is
-// promised in part, or the store may not take the turn in time. A caller can do
-// nothing with a part of an answer, and what it was handed is spent.
-func (e *exchange) holdsBack() bool {
+// mustHoldBack reports whether the response may turn out incomplete: the turn
+// has a partial grant, or the store may be too slow to store the turn in time.
+// A caller cannot use a partial response, yet the tokens sent to it are spent.
+func (e *exchange) mustHoldBack() bool {
 	if e.reservation != nil && e.reservation.Promised() < e.call.MaxTokens {
 		return true
 	}
 	return e.route.KeepsHistory && e.Durability.Slow()
 }
 
-// afford returns once the event's tokens are promised to the turn. A turn
-// begins with a part of what it may generate, and most end within it.
-func (e *exchange) afford(ctx context.Context, event eventstream.Event) error {
-	if e.reservation == nil || e.isAfforded(event) {
+// ensureBudget returns once the event's tokens are granted to the turn. A turn
+// starts with a partial grant of its maximum, and most turns end within it.
+func (e *exchange) ensureBudget(ctx context.Context, event eventstream.Event) error {
+	if e.reservation == nil || e.isCovered(event) {
 		return nil
 	}
 	began := e.Clock.Now()
-	err := e.whileWaiting(ctx, func(ctx context.Context) error { return e.extend(ctx, event) })
+	err := e.runWithKeepAlive(ctx, func(ctx context.Context) error { return e.extend(ctx, event) })
 	e.metrics.extend.RecordDuration(e.Clock.Now().Sub(began))
-	return e.notAfforded(err)
+	return e.budgetRefusal(err)
 }
 
-// whileWaiting returns the error of f, and gives the caller events that are held
-// back meanwhile, so that it stays. f must not touch what the caller is given.
-func (e *exchange) whileWaiting(ctx context.Context, f func(ctx context.Context) error) error {
-	if e.outbox.isEmpty() {
+// runWithKeepAlive returns the result of f. While f runs, it sends held-back
+// events to keep the caller connected, so f must not use the fields that
+// writing to the caller uses.
+func (e *exchange) runWithKeepAlive(ctx context.Context, f func(ctx context.Context) error) error {
+	if e.eventBuffer.isEmpty() {
 		return f(ctx)
 	}
 	done := make(chan error, 1)
 	go func() { done <- f(ctx) }()
-	for !e.outbox.isEmpty() {
-		due := time.NewTimer(e.outbox.untilDue(e.Clock.Now()))
+	for !e.eventBuffer.isEmpty() {
+		timer := time.NewTimer(e.eventBuffer.untilDue(e.Clock.Now()))
 		select {
 		case err := <-done:
-			due.Stop()
+			timer.Stop()
 			return err
-		case <-due.C:
-			// A caller that is gone ends ctx, and f with it.
-			_ = e.give(e.outbox.takeOne(e.Clock.Now()))
+		case <-timer.C:
+			// If the caller is gone, ctx ends and so does f.
+			_ = e.writeEvents(e.eventBuffer.takeOne(e.Clock.Now()))
 		}
 	}
 	return <-done
 }
 
-// isAfforded reports whether the event's tokens are promised to the turn.
-func (e *exchange) isAfforded(event eventstream.Event) bool {
+// isCovered reports whether the event's tokens are granted to the turn.
+func (e *exchange) isCovered(event eventstream.Event) bool {
 	return !event.HasData || (e.received+1)*e.eventTokens() <= e.reservation.Promised()
 }
 
-// extend asks for the rest of the turn's budget until the event is afforded,
-// there is no rest, it is known not to be had, or ctx ends.
+// extend requests the remainder of the turn's budget until the event is
+// covered. It returns nil if the event is covered or no remainder exists, and
+// an error if the remainder cannot be granted or ctx ends.
 func (e *exchange) extend(ctx context.Context, event eventstream.Event) error {
 	var last error
 	for {
 		before := e.reservation.Promised()
 		err := e.reservation.Extend(ctx)
 		if err == nil {
-			if e.isAfforded(event) || e.reservation.Promised() == before {
+			if e.isCovered(event) || e.reservation.Promised() == before {
 				return nil
 			}
 			continue
 		}
 		if ctx.Err() != nil && last != nil {
-			return last // err is the end of ctx
+			return last // err only reports the end of ctx
 		}
 		last = err
-		pause := pauseAfter(err)
-		if pause == 0 || !clock.Sleep(ctx, pause) {
+		delay := retryDelay(err)
+		if delay == 0 || !clock.Sleep(ctx, delay) {
 			return err
 		}
 	}
 }
 
-// pauseAfter returns the pause before the rest of a budget is asked for again;
-// 0 if asking again is of no use.
-func pauseAfter(err error) time.Duration {
-	var held *account.HeldError
+// retryDelay returns the delay before the remainder of a budget is requested
+// again; 0 if a retry cannot succeed.
+func retryDelay(err error) time.Duration {
+	var heldErr *account.HeldError
 	switch {
 	case store.Unserved(err):
-		return storeRetry
-	case errors.As(err, &held):
-		return heldRetry
+		return storeRetryInterval
+	case errors.As(err, &heldErr):
+		return heldBudgetRetryInterval
 	}
 	return 0
 }
 
-// notAfforded returns why a stream ends before its endpoint ended it; nil if
-// err is. The turn has run.
-func (e *exchange) notAfforded(err error) error {
-	var spent *account.SpentError
-	var held *account.HeldError
+// budgetRefusal returns the refusal for a stream that ends early because err
+// kept it from getting budget; nil if err is nil. The status says that the turn
+// may have run.
+func (e *exchange) budgetRefusal(err error) error {
+	var spentErr *account.SpentError
+	var heldErr *account.HeldError
 	switch {
 	case err == nil:
 		return nil
-	case errors.As(err, &spent):
+	case errors.As(err, &spentErr):
 		return refuse(ReasonSpent, http.StatusBadGateway, 0, err)
-	case errors.As(err, &held):
+	case errors.As(err, &heldErr):
 		return refuse(ReasonBudgetHeld, http.StatusBadGateway, 0, err)
 	}
 	return refuse(ReasonStoreAway, http.StatusBadGateway, 0, err)
 }
 
-// pass takes in an event, and gives the caller those that need not be held back.
-func (e *exchange) pass(event eventstream.Event) error {
+// relayEvent records an event and sends the events that need not be held back.
+func (e *exchange) relayEvent(event eventstream.Event) error {
 	if event.HasData {
 		e.received++
 		if e.route.KeepsHistory {
-			e.events = append(e.events, event.Data)
+			e.eventData = append(e.eventData, event.Data)
 		}
 	}
 	if event.ID != "" {
-		e.lastEvent = event.ID
+		e.lastEventID = event.ID
 	}
-	e.outbox.add(event)
-	if e.holdsBack() {
+	e.eventBuffer.add(event)
+	if e.mustHoldBack() {
 		e.heldBack = true
-		return e.give(e.outbox.takeDue(e.Clock.Now()))
+		return e.writeEvents(e.eventBuffer.takeDue(e.Clock.Now()))
 	}
-	return e.give(e.outbox.takeAll(e.Clock.Now()))
+	return e.writeEvents(e.eventBuffer.takeAll(e.Clock.Now()))
 }
 
-// give writes events to the caller, after the head of the answer. Without any it
-// writes the head, unless events are held back.
-func (e *exchange) give(events []eventstream.Event) error {
-	if len(events) == 0 && (e.answered || !e.outbox.isEmpty()) {
+// writeEvents sends events to the caller, preceded by the head of the response
+// if that was not written yet. Without events it writes only the head, and
+// nothing while events are held back.
+func (e *exchange) writeEvents(events []eventstream.Event) error {
+	if len(events) == 0 && (e.headWritten || !e.eventBuffer.isEmpty()) {
 		return nil
 	}
-	if !e.answered {
-		e.head(e.opening, -1)
-		e.first = e.Clock.Now().Sub(e.arrived)
-		e.metrics.firstEvent.RecordDuration(e.first)
+	if !e.headWritten {
+		e.writeHead(e.firstResponse, -1)
+		e.timeToFirstEvent = e.Clock.Now().Sub(e.arrived)
+		e.metrics.firstEvent.RecordDuration(e.timeToFirstEvent)
 	}
 	for _, event := range events {
 		if event.HasData {
-			e.count++
+			e.eventsSent++
 		}
 		if _, err := e.w.Write(event.Raw); err != nil {
 			return err
