--- a/entrypeer/client.go
+++ b/entrypeer/client.go
@@ -19,128 +19,139 @@
 )
 
 const (
-	// connectTimeout and unackedTimeout: see tcp.NewDialer. Instances are
-	// one way of a millisecond or less off.
+	// connectTimeout and unackedTimeout bound dialling and unacknowledged data
+	// (see tcp.NewDialer). One-way latency between instances is at most a
+	// millisecond.
 	connectTimeout = 300 * time.Millisecond
 	unackedTimeout = 600 * time.Millisecond
-	// idleConnections are kept to each other instance: what is asked of it at
-	// a time, and some more.
-	idleConnections = 8
-	// idleTime is how long an unused connection to an instance is kept.
-	idleTime = 10 * time.Second
+	// maxIdlePerInstance is the number of idle connections kept to each other
+	// instance: the usual number of concurrent calls to it plus some reserve.
+	maxIdlePerInstance = 8
+	// idleTimeout is how long an unused connection to an instance is kept.
+	idleTimeout = 10 * time.Second
 )
 
-// StatusError is an answer of another instance that it did not do what was
-// asked.
+// StatusError is returned when another instance rejects a call, that is,
+// responds with an HTTP status of 300 or above.
 type StatusError struct {
 	instance string
 	status   int
 	detail   string
 }
 
-// Error names the instance and what it said.
+// Error returns the instance, the status and the body of its response.
 func (e *StatusError) Error() string {
 	return fmt.Sprintf("instance %s: status %d: %s", e.instance, e.status, e.detail)
 }
 
-// UnreachedError is a call without a whole answer.
-type UnreachedError struct {
+// TransportError is returned when a call got no complete response: the
+// connection could not be made, or the response did not arrive in full before
+// the connection failed or the deadline passed. The call may have been
+// executed.
+type TransportError struct {
 	instance string
 	cause    error
 }
 
-// Error names the instance and the cause.
-func (e *UnreachedError) Error() string { return "instance " + e.instance + ": " + e.cause.Error() }
+// Error returns the instance and the cause.
+func (e *TransportError) Error() string { return "instance " + e.instance + ": " + e.cause.Error() }
 
 // Unwrap returns the cause.
-func (e *UnreachedError) Unwrap() error { return e.cause }
+func (e *TransportError) Unwrap() error { return e.cause }
 
 // Client calls other entry instances. It implements account.Holders,
-// account.Lenders and archive.Peers.
+// account.Lenders, archive.Peers and quota.Peers.
 type Client struct {
 	directory *Directory
 	http      *http.Client
 }
 
-// NewClient returns a client for the instances of directory.
+// NewClient returns a client for the instances in directory.
 func NewClient(directory *Directory) *Client {
-	transport := &http.Transport{DialContext: tcp.NewDialer(connectTimeout, unackedTimeout).DialContext, MaxIdleConnsPerHost: idleConnections, IdleConnTimeout: idleTime, DisableCompression: true}
+	transport := &http.Transport{DialContext: tcp.NewDialer(connectTimeout, unackedTimeout).DialContext, MaxIdleConnsPerHost: maxIdlePerInstance, IdleConnTimeout: idleTimeout, DisableCompression: true}
 	return &Client{directory: directory, http: &http.Client{Transport: transport}}
 }
 
-// GiveBack implements account.Holders.
+// GiveBack implements account.Holders. It calls each instance that owns one of
+// the accounts once, all of them concurrently, and returns when every call has
+// ended. Accounts of instances missing from the directory are skipped.
 func (client *Client) GiveBack(ctx context.Context, program string, accounts []string) {
-	asked := map[string]bool{}
+	requested := map[string]bool{}
 	var calls sync.WaitGroup
 	for _, account := range accounts {
-		instance, ok := client.directory.owning(account)
-		if !ok || asked[instance.Owner] {
+		instance, ok := client.directory.accountHolder(account)
+		if !ok || requested[instance.Owner] {
 			continue
 		}
-		asked[instance.Owner] = true
+		requested[instance.Owner] = true
 		calls.Go(func() {
-			// What was not given back shows in the row that is read next.
-			_ = client.call(ctx, instance, pathGiveBack, &giveBackMessage{Program: program}, nil)
+			// A failure needs no handling: unreleased tokens are still in the
+			// holder's row, which the caller reads next.
+			_ = client.call(ctx, instance, pathGiveBack, &giveBackRequest{Program: program}, nil)
 		})
 	}
 	calls.Wait()
 }
 
-// call makes one call. An instance that cannot be reached is left out for a
-// while.
-func (client *Client) call(ctx context.Context, instance Instance, path string, message, into any) error {
-	err := client.exchange(ctx, instance, path, message, into)
-	var unreached *UnreachedError
-	var status *StatusError
+// call makes one call and records in the directory whether the instance was
+// reachable. After a *TransportError the instance is excluded for a while.
+// Errors are those of exchange.
+func (client *Client) call(ctx context.Context, instance Instance, path string, message, result any) error {
+	err := client.exchange(ctx, instance, path, message, result)
+	var transportErr *TransportError
+	var statusErr *StatusError
 	switch {
-	case errors.As(err, &unreached):
-		client.directory.failed(instance, isLate(err))
-	case err == nil || errors.As(err, &status):
-		client.directory.reached(instance)
+	case errors.As(err, &transportErr):
+		client.directory.markFailed(instance, isTimeout(err))
+	case err == nil || errors.As(err, &statusErr):
+		client.directory.markReachable(instance)
 	}
 	return err
 }
 
-// exchange makes one call. It returns an *UnreachedError if there was no whole
-// answer, and a *StatusError if the answer was a refusal.
-func (client *Client) exchange(ctx context.Context, instance Instance, path string, message, into any) error {
+// exchange posts message to path at instance and decodes the response into
+// result, unless result is nil. It returns a *TransportError if no complete
+// response arrived, a *StatusError if the instance rejected the call, and
+// another error if a body could not be encoded or decoded.
+func (client *Client) exchange(ctx context.Context, instance Instance, path string, message, result any) error {
 	body, err := codec.Marshal(message)
 	if err != nil {
-		return eris.Wrap(err, "encode call to another instance")
+		return eris.Wrap(err, "encode request to another entry instance")
 	}
 	request, err := sling.New().Base("http://" + instance.Address).Post(path).Body(bytes.NewReader(body)).Request()
 	if err != nil {
-		return eris.Wrap(err, "call another instance")
+		return eris.Wrap(err, "build request to another entry instance")
 	}
 	response, err := client.http.Do(request.WithContext(ctx))
 	if err != nil {
-		return &UnreachedError{instance: instance.Name, cause: err}
+		return &TransportError{instance: instance.Name, cause: err}
 	}
-	defer func() { _ = response.Body.Close() }() // read to its end below
-	data, err := io.ReadAll(io.LimitReader(response.Body, 2*maxMessage))
+	defer func() { _ = response.Body.Close() }() // io.ReadAll below has consumed the body
+	data, err := io.ReadAll(io.LimitReader(response.Body, 2*maxMessageBytes))
 	if err != nil {
-		return &UnreachedError{instance: instance.Name, cause: err}
+		return &TransportError{instance: instance.Name, cause: err}
 	}
 	if response.StatusCode >= http.StatusMultipleChoices {
 		return &StatusError{instance: instance.Name, status: response.StatusCode, detail: string(data)}
 	}
-	if into == nil {
+	if result == nil {
 		return nil
 	}
-	return eris.Wrapf(codec.Unmarshal(data, into), "instance %s", instance.Name)
+	return eris.Wrapf(codec.Unmarshal(data, result), "decode response of instance %s", instance.Name)
 }
 
-// isLate reports whether a call ended with its time, on a connection that was
-// made.
-func isLate(err error) bool {
-	if isDial(err) {
+// isTimeout reports whether a call was cancelled or ran into its deadline after
+// its connection had been established.
+func isTimeout(err error) bool {
+	if isDialError(err) {
 		return false
 	}
 	return errors.Is(err, context.DeadlineExceeded) || errors.Is(err, context.Canceled)
 }
 
-// isDial reports whether a call was not sent, since no connection was made.
-func isDial(err error) bool {
-	var dial *net.OpError
-	return errors.As(err, &dial) && dial.Op == "dial"
+// isDialError reports whether a call failed because no connection was
+// established, so that nothing was sent.
+func isDialError(err error) bool {
+	var opErr *net.OpError
+	return errors.As(err, &opErr) && opErr.Op == "dial"
 }
--- a/entrypeer/credit.go
+++ b/entrypeer/credit.go
@@ -16,17 +16,22 @@
 	"github.com/wagtaildrum/wagtaildrum/store"
 )
 
-// CreditHome answers for the quotas of organisations, as *quota.Limiter does.
-type CreditHome interface {
-	// Answer answers another instance as the home of an organisation.
+// QuotaHome serves requests for the quotas of organisations whose home this
+// instance is. *quota.Limiter implements it.
+type QuotaHome interface {
+	// Answer serves a request of another instance for an organisation's quota.
+	// It returns quota.ErrNotHome or quota.ErrStopping if this instance cannot
+	// serve as the home.
 	Answer(ctx context.Context, question quota.Question) (quota.Answer, error)
-	// Transfer moves buckets from and to another home.
+	// Transfer exchanges token buckets with another home: it takes over the
+	// balances in transfer and returns the wanted ones.
 	Transfer(transfer quota.Transfer) (quota.Transfer, error)
 }
 
-// creditMessage is a quota.Question. There is one for most requests of callers,
-// so that it is short: fields go by their order.
-type creditMessage struct {
+// creditRequest is the encoding of a quota.Question. One is sent for most
+// requests of callers, so it is kept short: the fields are encoded by position,
+// without their names.
+type creditRequest struct {
 	_            struct{} `cbor:",toarray"`
 	Organisation string
 	Rate, Burst  float64
@@ -41,26 +46,28 @@
 	Hops         int
 }
 
-// mostCredit bounds what one question says of credit, in requests.
-const mostCredit = 1 << 16
+// maxCredit bounds each amount of credit in a request, in requests of callers.
+const maxCredit = 1 << 16
 
-// isValid reports whether the message is a question that an instance asks.
-func (message *creditMessage) isValid() bool {
+// isValid reports whether all fields are within the range that an instance
+// sends.
+func (message *creditRequest) isValid() bool {
 	for _, number := range []float64{message.Rate, message.Burst} {
 		if !(number >= 0 && number <= math.MaxInt32) {
 			return false
 		}
 	}
 	for _, amount := range []int{message.Left + 1, message.Spare, message.Returned, message.Hops} {
-		if amount < 0 || amount > mostCredit {
+		if amount < 0 || amount > maxCredit {
 			return false
 		}
 	}
 	return message.Organisation != "" && message.Patience <= time.Minute
 }
 
-// creditAnswer is a quota.Answer.
-type creditAnswer struct {
+// creditResponse is the encoding of a quota.Answer. Its fields are encoded by
+// position.
+type creditResponse struct {
 	_       struct{} `cbor:",toarray"`
 	Granted bool
 	Wait    time.Duration
@@ -68,74 +75,82 @@
 	Level   float32
 }
 
-// handOverMessage is a quota.Transfer of an instance, which tells who it is: it
-// may have joined just now.
-type handOverMessage struct {
+// transferRequest is a quota.Transfer together with the sending instance's
+// directory entry, which the receiver may not have read yet if the sender has
+// just joined.
+type transferRequest struct {
 	Name     string
 	Instance Instance
 	Transfer quota.Transfer
 }
 
-// homeCandidates is how many instances are named as an organisation's home: it,
-// the next one, and one more for when either cannot be reached.
-const homeCandidates = 3
+// maxHomeCandidates is the number of instances returned as candidates for an
+// organisation's home: the home, the next in rank, and one more in case either
+// is unreachable.
+const maxHomeCandidates = 3
 
-// AskCredit implements quota.Peers. An instance that is late is not left out of
-// other calls for it; one whose process has ended is.
+// AskCredit implements quota.Peers. A timeout does not exclude the instance
+// from other calls; a refused connection, which shows that its process has
+// terminated, does. It returns an *UnavailableError if the directory has no
+// instance called name.
 func (client *Client) AskCredit(ctx context.Context, name string, question quota.Question) (quota.Answer, error) {
-	instance, ok := client.directory.named(name)
+	instance, ok := client.directory.byName(name)
 	if !ok {
-		return quota.Answer{}, &AbsentError{instance: name}
+		return quota.Answer{}, &UnavailableError{instance: name}
 	}
 	ask := question.Ask
-	message := creditMessage{Organisation: question.Organisation, Rate: question.Limit.Rate, Burst: question.Limit.Burst, Version: question.Limit.Version,
+	message := creditRequest{Organisation: question.Organisation, Rate: question.Limit.Rate, Burst: question.Limit.Burst, Version: question.Limit.Version,
 		Asker: ask.Asker, Program: ask.Program, New: ask.New, Patience: ask.Patience, Left: ask.Left, Spare: ask.Spare, Returned: ask.Returned, Hops: question.Hops}
-	var answer creditAnswer
-	if err := client.exchange(ctx, instance, pathCredit, &message, &answer); err != nil {
-		err = quotaError(err)
+	var response creditResponse
+	if err := client.exchange(ctx, instance, pathCredit, &message, &response); err != nil {
+		err = readQuotaError(err)
 		if errors.Is(err, quota.ErrNotRunning) {
-			client.directory.failed(instance, false)
+			client.directory.markFailed(instance, false)
 		}
 		return quota.Answer{}, err
 	}
-	return quota.Answer{Granted: answer.Granted, Wait: answer.Wait, Spare: answer.Spare, Level: float64(answer.Level)}, nil
+	return quota.Answer{Granted: response.Granted, Wait: response.Wait, Spare: response.Spare, Level: float64(response.Level)}, nil
 }
 
-func (server *Server) credit(w http.ResponseWriter, r *http.Request) {
-	var message creditMessage
+// handleCredit serves a request for quota credit.
+func (server *Server) handleCredit(w http.ResponseWriter, r *http.Request) {
+	var message creditRequest
 	if !decode(w, r, &message) {
 		return
 	}
 	if !message.isValid() {
-		http.Error(w, "no quota", http.StatusBadRequest)
+		http.Error(w, "quota request has a field out of range", http.StatusBadRequest)
 		return
 	}
-	answer, err := server.Quotas.Answer(r.Context(), quota.Question{
+	response, err := server.Quotas.Answer(r.Context(), quota.Question{
 		Organisation: message.Organisation,
 		Limit:        quota.Limit{Rate: message.Rate, Burst: message.Burst, Version: message.Version},
 		Ask:          quota.Ask{Asker: message.Asker, Program: message.Program, New: message.New, Patience: message.Patience, Left: message.Left, Spare: message.Spare, Returned: message.Returned},
 		Hops:         message.Hops,
 	})
 	if err != nil {
-		refuse(w, err)
+		writeQuotaError(w, err)
 		return
 	}
-	server.reply(w, &creditAnswer{Granted: answer.Granted, Wait: answer.Wait, Spare: answer.Spare, Level: float32(answer.Level)})
+	server.reply(w, &creditResponse{Granted: response.Granted, Wait: response.Wait, Spare: response.Spare, Level: float32(response.Level)})
 }
 
-// HandOver implements quota.Peers.
+// HandOver implements quota.Peers. It sends transfer to the instance called
+// name and returns the buckets transferred in return. It returns an
+// *UnavailableError if the directory has no such instance.
 func (client *Client) HandOver(ctx context.Context, name string, transfer quota.Transfer) (quota.Transfer, error) {
-	instance, ok := client.directory.named(name)
+	instance, ok := client.directory.byName(name)
 	if !ok {
-		return quota.Transfer{}, &AbsentError{instance: name}
+		return quota.Transfer{}, &UnavailableError{instance: name}
 	}
-	var given quota.Transfer
-	err := client.exchange(ctx, instance, pathHandOver, &handOverMessage{Name: client.directory.self.Name, Instance: client.directory.self, Transfer: transfer}, &given)
-	return given, quotaError(err)
+	var granted quota.Transfer
+	err := client.exchange(ctx, instance, pathHandOver, &transferRequest{Name: client.directory.self.Name, Instance: client.directory.self, Transfer: transfer}, &granted)
+	return granted, readQuotaError(err)
 }
 
-// refuse answers with the error of a home.
-func refuse(w http.ResponseWriter, err error) {
+// writeQuotaError responds with the status that stands for err: 410 for
+// quota.ErrStopping, 421 for anything else. readQuotaError is its inverse.
+func writeQuotaError(w http.ResponseWriter, err error) {
 	status := http.StatusMisdirectedRequest
 	if errors.Is(err, quota.ErrStopping) {
 		status = http.StatusGone
@@ -143,9 +158,10 @@
 	http.Error(w, err.Error(), status)
 }
 
-// quotaError returns the error of a home that refuse wrote, and
-// quota.ErrNotRunning for a call whose connection was refused.
-func quotaError(err error) error {
+// readQuotaError returns the error that the home passed to writeQuotaError,
+// quota.ErrNotRunning for a call whose connection was refused, and any other
+// err unchanged.
+func readQuotaError(err error) error {
 	var status *StatusError
 	isStatus := errors.As(err, &status)
 	switch {
@@ -159,32 +175,34 @@
 	return err
 }
 
-func (server *Server) handOver(w http.ResponseWriter, r *http.Request) {
-	var message handOverMessage
+// handleTransfer serves a transfer of token buckets. It first records the
+// sending instance, whose entry may not have been read yet.
+func (server *Server) handleTransfer(w http.ResponseWriter, r *http.Request) {
+	var message transferRequest
 	if !decode(w, r, &message) {
 		return
 	}
 	if server.Directory != nil {
 		message.Instance.Name = store.Name(message.Name)
-		server.Directory.Meet(message.Instance)
+		server.Directory.Observe(message.Instance)
 	}
-	given, err := server.Quotas.Transfer(message.Transfer)
+	granted, err := server.Quotas.Transfer(message.Transfer)
 	if err != nil {
-		refuse(w, err)
+		writeQuotaError(w, err)
 		return
 	}
-	server.reply(w, &given)
+	server.reply(w, &granted)
 }
 
 // Self implements quota.Peers.
-func (client *Client) Self() string { return client.directory.key().Name }
+func (client *Client) Self() string { return client.directory.selfKey().Name }
 
 // Joined implements quota.Peers.
 func (client *Client) Joined(name string) time.Time {
 	directory := client.directory
 	directory.mu.Lock()
 	defer directory.mu.Unlock()
-	return directory.joined[name]
+	return directory.joinedAt[name]
 }
 
 // Settled implements quota.Peers.
@@ -192,46 +210,50 @@
 	directory := client.directory
 	directory.mu.Lock()
 	defer directory.mu.Unlock()
-	return directory.clock.Now().Sub(directory.changed)
+	return directory.clock.Now().Sub(directory.changedAt)
 }
 
-// Homes implements quota.Peers: rendezvous hashing orders the instances.
+// Homes implements quota.Peers. It ranks the instances by rendezvous hashing.
 func (client *Client) Homes(organisation string, all bool) []string {
 	return client.directory.homes(organisation, all)
 }
 
+// homes returns up to maxHomeCandidates instances, this one included, ranked by
+// their rendezvous score for organisation. Excluded instances are left out
+// unless all is set.
 func (directory *Directory) homes(organisation string, all bool) []string {
 	type candidate struct {
 		name  string
 		score uint64
 	}
-	var best [homeCandidates + 1]candidate
+	var best [maxHomeCandidates + 1]candidate
 	n := 0
 	hash := xxhash.Sum64String(organisation)
 	consider := func(name string) {
-		best[n] = candidate{name: name, score: mix(hash ^ xxhash.Sum64String(name))}
+		best[n] = candidate{name: name, score: mixBits(hash ^ xxhash.Sum64String(name))}
 		n++
 		slices.SortFunc(best[:n], func(a, b candidate) int { return cmp.Compare(b.score, a.score) })
-		n = min(n, homeCandidates)
+		n = min(n, maxHomeCandidates)
 	}
 	directory.mu.Lock()
 	defer directory.mu.Unlock()
 	now := directory.clock.Now()
-	consider(directory.key().Name)
+	consider(directory.selfKey().Name)
 	for name := range directory.instances {
-		if name != directory.key().Name && (all || !directory.left(name, now)) {
+		if name != directory.selfKey().Name && (all || !directory.isExcluded(name, now)) {
 			consider(name)
 		}
 	}
-	names := make([]string, 0, homeCandidates)
+	names := make([]string, 0, maxHomeCandidates)
 	for _, candidate := range best[:n] {
 		names = append(names, candidate.name)
 	}
 	return names
 }
 
-// mix spreads a hash over all its bits.
-func mix(hash uint64) uint64 {
+// mixBits is the finaliser of MurmurHash3: each bit of hash affects all bits of
+// the result.
+func mixBits(hash uint64) uint64 {
 	hash ^= hash >> 33
 	hash *= 0xff51afd7ed558ccd
 	hash ^= hash >> 33
--- a/entrypeer/credit_test.go
+++ b/entrypeer/credit_test.go
@@ -21,9 +21,9 @@
 	"github.com/wagtaildrum/wagtaildrum/store/storetest"
 )
 
-// All instances name the same home for an organisation; credit is asked for
-// there from any of them, and the quota is one for all.
-func TestQuotaIsOneForAllInstances(t *testing.T) {
+// All instances agree on the home of an organisation, and together grant no
+// more than one quota, whichever instance a request for credit comes through.
+func TestQuotaSharedByAllInstances(t *testing.T) {
 	memory := storetest.New()
 	fleet := []*instance{start(t, memory, "a"), start(t, memory, "b"), start(t, memory, "c")}
 	require.Eventually(t, func() bool {
@@ -43,8 +43,8 @@
 			assert.Equal(t, want, i.client.Homes(organisation, true))
 		}
 	}
-	assert.Len(t, homes, len(fleet), "organisations have homes everywhere")
-	time.Sleep(1100 * time.Millisecond) // the bucket fills
+	assert.Len(t, homes, len(fleet), "organisations have homes at all instances")
+	time.Sleep(1100 * time.Millisecond) // lets the bucket fill
 	granted := 0
 	limit := quota.Limit{Rate: 20, Burst: 20, Version: 1}
 	for n := range 120 {
@@ -59,13 +59,13 @@
 		}
 	}
 	assert.GreaterOrEqual(t, granted, 20)
-	assert.LessOrEqual(t, granted, 45, "the burst and half of what is tolerated, and what came meanwhile")
+	assert.LessOrEqual(t, granted, 45, "the burst, half of the tolerance, and the refill during the loop")
 }
 
-// Guards against a quota that is given out twice while the news of an instance
-// spreads: one that joined takes the bucket over, and who gave it up passes
-// questions on to it.
-func TestInstanceThatJoinsTakesItsBucketOver(t *testing.T) {
+// Guards against granting a quota twice while the news of a joining instance
+// spreads. The instance that joined takes the bucket over, and the previous
+// home forwards requests to it.
+func TestJoiningInstanceTakesOverBucket(t *testing.T) {
 	memory := storetest.New()
 	a, b := start(t, memory, "a"), start(t, memory, "b")
 	require.Eventually(t, func() bool { return len(a.client.Homes("x", true)) == 2 && len(b.client.Homes("x", true)) == 2 }, time.Second, 5*time.Millisecond)
@@ -89,19 +89,19 @@
 	assert.LessOrEqual(t, granted, 6)
 }
 
-// Guards against a call of an instance whose entry is not read yet, which would
-// be taken for nobody's, and against an earlier start that replaces a later one.
-func TestInstanceIsMetWhenItCalls(t *testing.T) {
+// Guards against ignoring a call from an instance whose entry has not been read
+// yet, and against an earlier incarnation replacing a later one.
+func TestCallRecordsUnknownInstance(t *testing.T) {
 	memory := storetest.New()
 	a := start(t, memory, "a")
 	start(t, memory, "b")
-	require.Eventually(t, func() bool { return len(a.client.Homes("x", true)) == 2 }, time.Second, 5*time.Millisecond, "the list is read")
+	require.Eventually(t, func() bool { return len(a.client.Homes("x", true)) == 2 }, time.Second, 5*time.Millisecond, "the directory has been read")
 	now := time.Now()
 	call := func(address string, began time.Time) {
 		directory := entrypeer.NewDirectory(entrypeer.Instance{Name: "new", Owner: entrypeer.NewOwner("new", began), Address: address, DataCentre: "a"}, clock.Real{})
 		client := entrypeer.NewClient(directory)
 		instance := entrypeer.Instance{Name: "a", Owner: entrypeer.NewOwner("a", now), Address: a.server.Listener.Addr().String()}
-		directory.Meet(instance)
+		directory.Observe(instance)
 		_, err := client.HandOver(context.Background(), "a", quota.Transfer{From: "new"})
 		require.NoError(t, err)
 	}
@@ -109,10 +109,11 @@
 	assert.Contains(t, a.client.Homes("x", true), "new")
 	joined := a.client.Joined("new")
 	call("10.0.0.1:1", now.Add(-time.Second))
-	assert.Equal(t, joined, a.client.Joined("new"), "the earlier start is not taken in")
+	assert.Equal(t, joined, a.client.Joined("new"), "the earlier incarnation is not recorded")
 }
 
-// FuzzCreditMessage has whatever comes as a question answered or refused.
+// FuzzCreditMessage checks that any body is either served or rejected with a
+// defined status.
 func FuzzCreditMessage(f *testing.F) {
 	directory := entrypeer.NewDirectory(entrypeer.Instance{Name: "a", Owner: "a-1"}, clock.Real{})
 	client := entrypeer.NewClient(directory)
--- a/entrypeer/directory.go
+++ b/entrypeer/directory.go
@@ -18,130 +18,146 @@
 )
 
 const (
-	// table holds a row for each entry instance.
+	// table is the store's table with one row per entry instance.
 	table = "entries"
-	// failurePause is how long an instance that could not be reached is left
-	// out, doubled with each failure in a row up to maxFailurePause: the row
-	// of one that is gone for good stays.
-	failurePause    = time.Second
-	maxFailurePause = 16 * time.Second
-	// isolatingFailures is how many other instances cannot be reached, with no
-	// answer in between, before this one counts as cut off. One at a time ends
-	// or starts again.
-	isolatingFailures = 2
-	// stopTime is how long an instance that stops is left out: some eight
-	// seconds, after which it has left, or has started again and entered
-	// itself anew.
-	stopTime = 8 * time.Second
-	// storelessTime is how long an instance that could not serve a relayed call of
-	// the store is asked last: outages last seconds.
-	storelessTime = time.Second
-	// joinPause and maxJoinPause are between tries to enter the table.
-	joinPause = 100 * time.Millisecond
-	// watchWait is how long a call for news of other instances is held. An
-	// instance that is missed for some seconds is one fewer to ask.
+	// initialExclusion is how long an unreachable instance is excluded after
+	// its first failure. The time doubles with each consecutive failure up to
+	// maxExclusion, since the row of an instance that is gone for good stays.
+	initialExclusion = time.Second
+	maxExclusion     = 16 * time.Second
+	// isolationThreshold is the number of unreachable instances, without a
+	// response from any in between, from which on this instance counts as
+	// isolated. A single unreachable one may have terminated or be restarting.
+	isolationThreshold = 2
+	// stoppingExclusion is how long a stopping instance is excluded. After
+	// about eight seconds it has left the table, or has restarted and written a
+	// new entry.
+	stoppingExclusion = 8 * time.Second
+	// noStoreDemotion is how long an instance that failed to serve a relayed
+	// store call ranks last for further ones. Store outages last seconds.
+	noStoreDemotion = time.Second
+	// initialJoinBackoff and maxJoinBackoff bound the delay between attempts to
+	// write the entry of this instance.
+	initialJoinBackoff = 100 * time.Millisecond
+	// watchWait is how long the store holds a watch of the table open when
+	// nothing changes. Missing a new instance for some seconds does little
+	// harm: there is one fewer to call.
 	watchWait = 8 * time.Second
-	// gatherTime is how long news of other instances is gathered. One that
-	// starts again has the name and the address that it had, so that it is
-	// reached meanwhile; 84 that start within a fifth of a second are then
-	// read in some eight calls by each, not in 84.
-	gatherTime   = 300 * time.Millisecond
-	maxJoinPause = time.Second
+	// maxGatherDelay bounds how long changes of the table are batched. The
+	// delay is harmless for a restarted instance, which keeps its name and
+	// address and stays reachable. When 84 instances start within 200 ms, each
+	// reads the entries in about eight calls instead of 84.
+	maxGatherDelay = 300 * time.Millisecond
+	maxJoinBackoff = time.Second
 )
 
-// Instance is an entry instance as it stands in the table.
+// Instance is the entry of an entry instance in the table.
 type Instance struct {
-	// Name is the machine's; a restarted instance takes the row over.
+	// Name is the machine's name and the key of the row. A restarted instance
+	// overwrites the row of its previous incarnation.
 	Name string `cbor:"-"`
-	// Owner is new with each start: budget accounts are named after it.
+	// Owner identifies the incarnation. It prefixes the names of the
+	// incarnation's budget accounts.
 	Owner string `cbor:"o"`
-	// Address serves the calls of this package.
+	// Address is where the instance serves the calls of this package.
 	Address    string `cbor:"a"`
 	DataCentre string `cbor:"d"`
 }
 
-// Directory knows the other entry instances. It is safe for concurrent use.
+// Directory holds the entries of the other entry instances and whether each was
+// reachable lately. It is safe for concurrent use.
 type Directory struct {
 	self  Instance
 	clock clock.Clock
 
 	mu        sync.Mutex
 	instances map[string]Instance
-	avoid     map[string]absence
-	// displaced is told when the own row was found to be another's.
-	displaced chan struct{}
-	// unreached are the instances that could not be reached since any last
-	// answered.
-	unreached map[string]struct{}
-	// storeless are the instances that could not serve a relayed call, until when
-	// they are asked last; way is the one that last served one.
-	storeless map[string]time.Time
-	way       string
-	// changed is when an instance last joined, left or started again.
-	changed time.Time
-	// joined is when each instance was first known in its present start.
-	joined map[string]time.Time
+	// exclusions holds the instances that failed or announced a shutdown, by
+	// name.
+	exclusions map[string]exclusion
+	// overwritten receives a value when the row of this instance was found to
+	// hold another incarnation's entry.
+	overwritten chan struct{}
+	// unreachable holds the names of the instances that could not be reached
+	// since the last response from any instance.
+	unreachable map[string]struct{}
+	// noStoreUntil maps each instance that failed to serve a relayed store call
+	// to the time until which it ranks last for further ones. lastRelay is the
+	// instance that last served one.
+	noStoreUntil map[string]time.Time
+	lastRelay    string
+	// changedAt is when an instance last joined, left or restarted.
+	changedAt time.Time
+	// joinedAt maps each instance to when its present incarnation was first
+	// recorded.
+	joinedAt map[string]time.Time
 }
 
-// absence is an instance that could not be reached.
-type absence struct {
+// exclusion holds until when an instance is excluded from calls, and its number
+// of consecutive failures.
+type exclusion struct {
 	until    time.Time
 	failures int
-	// stopping instances still answer, but lend nothing.
+	// stopping is set for an instance that announced its shutdown. It still
+	// responds but grants no loans.
 	stopping bool
 }
 
-// NewDirectory returns a directory that knows only self.
+// NewDirectory returns a directory that holds no instance but self.
 func NewDirectory(self Instance, clk clock.Clock) *Directory {
-	return &Directory{self: self, clock: clk, instances: map[string]Instance{}, avoid: map[string]absence{}, unreached: map[string]struct{}{}, storeless: map[string]time.Time{}, displaced: make(chan struct{}, 1), changed: clk.Now(), joined: map[string]time.Time{}}
+	return &Directory{self: self, clock: clk, instances: map[string]Instance{}, exclusions: map[string]exclusion{}, unreachable: map[string]struct{}{}, noStoreUntil: map[string]time.Time{}, overwritten: make(chan struct{}, 1), changedAt: clk.Now(), joinedAt: map[string]time.Time{}}
 }
 
-func (directory *Directory) key() store.Key {
+// selfKey returns the key of this instance's row.
+func (directory *Directory) selfKey() store.Key {
 	return store.Key{Table: table, Name: store.Name(directory.self.Name)}
 }
 
-// Join enters this instance into the table, and again when an earlier start
-// of it is found there: a write of that one whose answer was lost may be
-// applied seconds later. Without that nobody would find the holder of this
-// start's budget accounts. It goes on until ctx ends, then reports on done.
+// Join returns a function that writes the entry of this instance to the table
+// and writes it again whenever an earlier incarnation's entry is found there: a
+// write of that incarnation whose response was lost may be applied seconds
+// later, and other instances could then not find the holder of the present
+// incarnation's budget accounts. The function runs until its context ends, then
+// sends nil on done.
 func (directory *Directory) Join(s store.Store, log *slog.Logger) func(context.Context, chan<- error) {
 	return func(ctx context.Context, done chan<- error) {
 		defer func() { done <- nil }()
 		value, err := codec.Marshal(&directory.self)
 		if err != nil {
-			log.Error("own entry cannot be encoded: other instances will not find this one", "err", err)
+			log.Error("cannot encode the entry of this instance; other instances will not find it", "err", err)
 			return
 		}
-		backoff := retry.Backoff{First: joinPause, Most: maxJoinPause}
+		backoff := retry.Backoff{First: initialJoinBackoff, Most: maxJoinBackoff}
 		for {
-			_, err := s.Commit(ctx, store.Transaction{Puts: []store.Put{{Key: directory.key(), Value: value}}})
+			_, err := s.Commit(ctx, store.Transaction{Puts: []store.Put{{Key: directory.selfKey(), Value: value}}})
 			if err == nil {
-				log.Info("joined the other instances", "address", directory.self.Address, "owner", directory.self.Owner)
-				backoff = retry.Backoff{First: joinPause, Most: maxJoinPause}
+				log.Info("entry of this instance written; other instances can find it", "address", directory.self.Address, "owner", directory.self.Owner)
+				backoff = retry.Backoff{First: initialJoinBackoff, Most: maxJoinBackoff}
 				select {
 				case <-ctx.Done():
 					return
-				case <-directory.displaced:
+				case <-directory.overwritten:
 					continue
 				}
 			}
-			log.Warn("not joined yet", "err", err)
-			if !clock.Sleep(ctx, joinPause/2+backoff.Next()) {
+			log.Warn("entry of this instance not written; retrying", "err", err)
+			if !clock.Sleep(ctx, initialJoinBackoff/2+backoff.Next()) {
 				return
 			}
 		}
 	}
 }
 
-// Leave takes this instance out of the table.
+// Leave deletes the entry of this instance from the table. It returns the error
+// of the store.
 func (directory *Directory) Leave(ctx context.Context, s store.Store) error {
-	_, err := s.Commit(ctx, store.Transaction{Deletes: []store.Key{directory.key()}})
+	_, err := s.Commit(ctx, store.Transaction{Deletes: []store.Key{directory.selfKey()}})
 	return err
 }
 
-// Source returns the table to follow.
+// Source returns the discovery source that applies the table to the directory.
 func (directory *Directory) Source(log *slog.Logger) discovery.Source {
-	return discovery.Source{Table: table, Wait: watchWait, Gather: gatherTime, Lost: func() {}, Back: func() {}, Apply: func(row store.Row) { directory.apply(row, log) }, Whole: func(rows []store.Row) {
+	return discovery.Source{Table: table, Wait: watchWait, Gather: maxGatherDelay, Lost: func() {}, Back: func() {}, Apply: func(row store.Row) { directory.apply(row, log) }, Whole: func(rows []store.Row) {
 		directory.mu.Lock()
 		clear(directory.instances)
 		directory.mu.Unlock()
@@ -155,65 +171,69 @@
 func (directory *Directory) Members() (self string, all []string) {
 	directory.mu.Lock()
 	defer directory.mu.Unlock()
-	self = directory.key().Name
+	self = directory.selfKey().Name
 	return self, append(slices.Collect(maps.Keys(directory.instances)), self)
 }
 
+// apply updates the directory from one row of the table. A row that cannot be
+// decoded is logged and changes nothing.
 func (directory *Directory) apply(row store.Row, log *slog.Logger) {
 	directory.mu.Lock()
 	defer directory.mu.Unlock()
 	if row.Removed {
 		delete(directory.instances, row.Key.Name)
-		delete(directory.joined, row.Key.Name)
-		delete(directory.storeless, row.Key.Name)
-		directory.changed = directory.clock.Now()
+		delete(directory.joinedAt, row.Key.Name)
+		delete(directory.noStoreUntil, row.Key.Name)
+		directory.changedAt = directory.clock.Now()
 		return
 	}
 	var instance Instance
 	if err := codec.Unmarshal(row.Value, &instance); err != nil {
-		log.Error("entry of an instance refused", "instance", row.Key.Name, "err", err)
+		log.Error("entry of another instance cannot be decoded; ignoring it", "instance", row.Key.Name, "err", err)
 		return
 	}
 	instance.Name = row.Key.Name
 	switch {
 	case instance.Owner == directory.self.Owner:
-	case instance.Name == directory.key().Name:
+	case instance.Name == directory.selfKey().Name:
 		select {
-		case directory.displaced <- struct{}{}:
-		default: // told already
+		case directory.overwritten <- struct{}{}:
+		default: // a notification is pending
 		}
 	default:
 		if directory.instances[row.Key.Name] != instance {
-			delete(directory.avoid, row.Key.Name) // started anew
-			directory.changed = directory.clock.Now()
-			directory.joined[row.Key.Name] = directory.changed
+			delete(directory.exclusions, row.Key.Name) // restarted, so earlier failures no longer count
+			directory.changedAt = directory.clock.Now()
+			directory.joinedAt[row.Key.Name] = directory.changedAt
 		}
 		directory.instances[row.Key.Name] = instance
 	}
 }
 
-// Meet takes in an instance that calls, unless a later start of it is known.
-func (directory *Directory) Meet(instance Instance) {
+// Observe records an instance that made a call, unless a later or the same
+// incarnation of it is recorded.
+func (directory *Directory) Observe(instance Instance) {
 	directory.mu.Lock()
 	defer directory.mu.Unlock()
-	called, ok := parseOwner(instance.Owner)
-	if !ok || instance.Name == directory.key().Name {
+	caller, ok := parseOwner(instance.Owner)
+	if !ok || instance.Name == directory.selfKey().Name {
 		return
 	}
-	known, isKnown := directory.instances[instance.Name]
-	if current, ok := parseOwner(known.Owner); isKnown && ok && current.began >= called.began {
+	recorded, isRecorded := directory.instances[instance.Name]
+	if current, ok := parseOwner(recorded.Owner); isRecorded && ok && current.startedAt >= caller.startedAt {
 		return
 	}
-	delete(directory.avoid, instance.Name)
+	delete(directory.exclusions, instance.Name)
 	directory.instances[instance.Name] = instance
-	directory.changed = directory.clock.Now()
-	directory.joined[instance.Name] = directory.changed
+	directory.changedAt = directory.clock.Now()
+	directory.joinedAt[instance.Name] = directory.changedAt
 }
 
-// owning returns the instance that owns a budget account, whether or not it
-// answered of late: what it holds cannot be had in another way, and it may only
-// have waited for the store.
-func (directory *Directory) owning(account string) (Instance, bool) {
+// accountHolder returns the instance whose present incarnation owns a budget
+// account, and false if there is none. It includes excluded instances: the
+// tokens that they hold cannot be had elsewhere, and an unresponsive one may
+// just have been waiting for the store.
+func (directory *Directory) accountHolder(account string) (Instance, bool) {
 	owner := accountOwner(account)
 	directory.mu.Lock()
 	defer directory.mu.Unlock()
@@ -225,33 +245,35 @@
 	return Instance{}, false
 }
 
-// present returns the instance of a name unless it is left out.
-func (directory *Directory) present(name string) (Instance, bool) {
+// available returns the instance of the given name, and false if it is not
+// recorded or is excluded.
+func (directory *Directory) available(name string) (Instance, bool) {
 	directory.mu.Lock()
 	defer directory.mu.Unlock()
 	instance, ok := directory.instances[name]
-	return instance, ok && !directory.left(name, directory.clock.Now())
+	return instance, ok && !directory.isExcluded(name, directory.clock.Now())
 }
 
-// some returns up to n other instances to relay a call of the store: first the one
-// that last served one, then those of the own data centre, in random order, and
-// last those that could not of late.
-func (directory *Directory) some(n int) []Instance {
+// relayCandidates returns up to n other instances through which to relay a
+// store call: first the one that last served one, then those of the same data
+// centre, then the remaining ones, each group in random order, and last those
+// that lately failed to serve one. Excluded instances are left out.
+func (directory *Directory) relayCandidates(n int) []Instance {
 	directory.mu.Lock()
 	defer directory.mu.Unlock()
 	now := directory.clock.Now()
 	var all []Instance
 	for _, instance := range directory.instances {
-		if !directory.left(instance.Name, now) {
+		if !directory.isExcluded(instance.Name, now) {
 			all = append(all, instance)
 		}
 	}
 	rand.Shuffle(len(all), func(i, j int) { all[i], all[j] = all[j], all[i] })
 	rank := func(instance Instance) int {
 		switch {
-		case now.Before(directory.storeless[instance.Name]):
+		case now.Before(directory.noStoreUntil[instance.Name]):
 			return 3
-		case instance.Name == directory.way:
+		case instance.Name == directory.lastRelay:
 			return 0
 		case instance.DataCentre == directory.self.DataCentre:
 			return 1
@@ -262,66 +284,71 @@
 	return all[:min(n, len(all))]
 }
 
-// relayed notes whether an instance served a relayed call of the store.
-func (directory *Directory) relayed(instance Instance, served bool) {
+// recordRelay records whether an instance served a relayed store call.
+func (directory *Directory) recordRelay(instance Instance, served bool) {
 	directory.mu.Lock()
 	defer directory.mu.Unlock()
 	if served {
-		directory.way = instance.Name
-		delete(directory.storeless, instance.Name)
+		directory.lastRelay = instance.Name
+		delete(directory.noStoreUntil, instance.Name)
 		return
 	}
-	directory.storeless[instance.Name] = directory.clock.Now().Add(storelessTime)
+	directory.noStoreUntil[instance.Name] = directory.clock.Now().Add(noStoreDemotion)
 }
 
-// left reports whether an instance is left out. The caller holds mu.
-func (directory *Directory) left(name string, now time.Time) bool {
-	return now.Before(directory.avoid[name].until)
+// isExcluded reports whether an instance is excluded from calls at now. The
+// caller must hold mu.
+func (directory *Directory) isExcluded(name string, now time.Time) bool {
+	return now.Before(directory.exclusions[name].until)
 }
 
-// failed leaves an instance out for a while, and longer each time if it could
-// not be reached at all. One that was too late is tried again after the first
-// pause: in an outage all instances wait for the store, and if they left each
-// other out for long after it, programs would have accounts everywhere.
-func (directory *Directory) failed(instance Instance, late bool) {
+// markFailed excludes an instance after a failed call, for longer with each
+// consecutive failure if it could not be reached at all. After a timeout (late)
+// only the initial exclusion applies: in a store outage all instances wait for
+// the store, and if they excluded each other for long afterwards, programs
+// would have accounts at many instances.
+func (directory *Directory) markFailed(instance Instance, late bool) {
 	directory.mu.Lock()
 	defer directory.mu.Unlock()
 	now := directory.clock.Now()
-	absent := directory.avoid[instance.Name]
+	excluded := directory.exclusions[instance.Name]
 	if late {
-		absent.failures = 0
+		excluded.failures = 0
 	}
-	absent.until = now.Add(min(failurePause<<min(absent.failures, 10), maxFailurePause))
-	absent.failures++
-	directory.avoid[instance.Name] = absent
+	excluded.until = now.Add(min(initialExclusion<<min(excluded.failures, 10), maxExclusion))
+	excluded.failures++
+	directory.exclusions[instance.Name] = excluded
 	if !late {
-		directory.unreached[instance.Name] = struct{}{}
+		directory.unreachable[instance.Name] = struct{}{}
 	}
 }
 
-// leaving leaves out an instance that said that it stops, for as long as a
-// stop takes.
-func (directory *Directory) leaving(instance Instance) {
+// markStopping excludes an instance that announced its shutdown, for as long as
+// a shutdown takes.
+func (directory *Directory) markStopping(instance Instance) {
 	directory.mu.Lock()
 	defer directory.mu.Unlock()
-	directory.avoid[instance.Name] = absence{until: directory.clock.Now().Add(stopTime), stopping: true}
+	directory.exclusions[instance.Name] = exclusion{until: directory.clock.Now().Add(stoppingExclusion), stopping: true}
 }
 
-// reached notes that an instance answered.
-func (directory *Directory) reached(instance Instance) {
+// markReachable records a response from an instance. It ends the exclusion of
+// the instance unless it is shutting down.
+func (directory *Directory) markReachable(instance Instance) {
 	directory.mu.Lock()
 	defer directory.mu.Unlock()
-	if !directory.avoid[instance.Name].stopping || !directory.left(instance.Name, directory.clock.Now()) {
-		delete(directory.avoid, instance.Name)
+	if !directory.exclusions[instance.Name].stopping || !directory.isExcluded(instance.Name, directory.clock.Now()) {
+		delete(directory.exclusions, instance.Name)
 	}
-	clear(directory.unreached)
+	clear(directory.unreachable)
 }
 
-// Isolated reports whether this instance could reach no other one of late. One
-// other alone may have ended, and one that was too late may wait for the store.
+// Isolated reports whether this instance appears to be partitioned from all
+// others: at least isolationThreshold of them are unreachable, or the only
+// other one is. Timeouts do not count, since an instance that responds late may
+// be waiting for the store.
 func (directory *Directory) Isolated() bool {
 	directory.mu.Lock()
 	defer directory.mu.Unlock()
-	unreached := len(directory.unreached)
-	return unreached >= isolatingFailures || unreached > 0 && len(directory.instances) == 1
+	unreachable := len(directory.unreachable)
+	return unreachable >= isolationThreshold || unreachable > 0 && len(directory.instances) == 1
 }
--- a/entrypeer/entrypeer_test.go
+++ b/entrypeer/entrypeer_test.go
@@ -29,27 +29,29 @@
 	"github.com/wagtaildrum/wagtaildrum/store/storetest"
 )
 
-// instance is what an entry instance needs to speak to the others.
+// instance is an entry instance reduced to its calls with others. It implements
+// the interfaces of entrypeer.Server itself.
 type instance struct {
-	owner     string
-	door      *platformtest.Door
-	directory *entrypeer.Directory
-	client    *entrypeer.Client
-	relay     *entrypeer.Relay
-	server    *httptest.Server
-	asked     atomic.Pointer[string]
-	repaid    atomic.Int64
-	settled   atomic.Int64
-	quotas    *quota.Limiter
+	owner            string
+	door             *platformtest.Door
+	directory        *entrypeer.Directory
+	client           *entrypeer.Client
+	relay            *entrypeer.Relay
+	server           *httptest.Server
+	releaseRequested atomic.Pointer[string]
+	repaidTokens     atomic.Int64
+	repaidLoans      atomic.Int64
+	quotas           *quota.Limiter
 }
 
 func (i *instance) GiveBack(_ context.Context, program string) error {
-	i.asked.Store(&program)
+	i.releaseRequested.Store(&program)
 	return nil
 }
 
-// Lend lends each program a turn of 567 tokens; "held" has to wait, and of
-// "unknown" nothing can be told.
+// Lend grants the same loan for every turn that the budget covers. The program
+// names "held", "stopped" and "unknown" return the error of that name, and
+// "slow" delays the grant.
 func (i *instance) Lend(_ context.Context, program string, borrowing account.Borrowing) (account.Loan, error) {
 	switch {
 	case program == "held":
@@ -66,7 +68,8 @@
 	return account.Loan{ID: 7, Places: []account.Place{{Part: borrowing.Parts[0], Endpoint: "e1", Tokens: 5000}}}, nil
 }
 
-// Held has the turn "t1"; "slow" takes as long as a frozen machine.
+// Held returns the turn "t1". The ID "slow" delays the response, as a frozen
+// machine would.
 func (i *instance) Held(id string) []archive.Kept {
 	if id == "slow" {
 		time.Sleep(200 * time.Millisecond)
@@ -79,11 +82,13 @@
 
 func (i *instance) Repaid(repayments []account.Repayment) {
 	for _, repayment := range repayments {
-		i.repaid.Add(repayment.Spent)
-		i.settled.Add(1)
+		i.repaidTokens.Add(repayment.Spent)
+		i.repaidLoans.Add(1)
 	}
 }
 
+// start runs an instance called name with its own connection to memory until
+// the test ends.
 func start(t *testing.T, memory *storetest.Memory, name string) *instance {
 	t.Helper()
 	i := &instance{owner: name + "-1", door: platformtest.NewDoor(memory)}
@@ -113,6 +118,7 @@
 
 var key = store.Key{Table: "t", Partition: "p", Name: "a"}
 
+// put commits a row with the instance's owner through its relay.
 func (i *instance) put(t *testing.T) error {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), 3*time.Second)
@@ -121,13 +127,13 @@
 	return err
 }
 
-// Symptom: machines that the store turns away serve no turn, though others
-// are served. Events: the store refuses, resets or ignores the calls of one
-// instance. Cause: an instance had only its own way.
-func TestStoreIsReachedThroughAnotherInstance(t *testing.T) {
+// Guards against refused turns at machines that the store rejects while others
+// are served. The store refuses, resets or ignores the calls of one instance,
+// which must then use another instance's connection.
+func TestStoreCallsRelayedWhenDirectConnectionFails(t *testing.T) {
 	memory := storetest.New()
 	shut, open := start(t, memory, "shut"), start(t, memory, "open")
-	time.Sleep(50 * time.Millisecond) // they find each other
+	time.Sleep(50 * time.Millisecond) // lets the instances find each other
 	for _, mode := range []platformtest.Mode{platformtest.Busy, platformtest.Many, platformtest.Reset, platformtest.Silent} {
 		shut.door.Set(mode)
 		for range 5 {
@@ -143,23 +149,23 @@
 		assert.Len(t, page.Rows, 1)
 		shut.door.Set(platformtest.Open)
 		calls := shut.door.Calls()
-		require.Eventually(t, func() bool { _ = shut.put(t); return shut.door.Calls() > calls+1 }, 2*time.Second, 20*time.Millisecond, "its own way is used again")
+		require.Eventually(t, func() bool { _ = shut.put(t); return shut.door.Calls() > calls+1 }, 2*time.Second, 20*time.Millisecond, "the direct connection is used again")
 	}
 	assert.False(t, shut.directory.Isolated())
 	open.door.Set(platformtest.Busy)
 	shut.door.Set(platformtest.Busy)
 	err := shut.put(t)
 	assert.True(t, store.Unserved(err), "%v", err)
-	assert.False(t, shut.directory.Isolated(), "others answer: the store is away for all")
+	assert.False(t, shut.directory.Isolated(), "others respond, so the store is unavailable to all")
 	open.server.CloseClientConnections()
 	open.server.Close()
 	assert.True(t, store.Unserved(shut.put(t)))
 	assert.True(t, shut.directory.Isolated())
 }
 
-// Guards against an ended process that goes on being named as the home of a quota:
-// if all that are named have ended, nobody is asked.
-func TestEndedInstanceIsNamedAsNoHome(t *testing.T) {
+// Guards against naming a terminated process as the home of a quota: if all
+// candidates have terminated, no instance is left to ask.
+func TestTerminatedInstanceIsNotQuotaHome(t *testing.T) {
 	memory := storetest.New()
 	own, ended := start(t, memory, "own"), start(t, memory, "ended")
 	require.Eventually(t, func() bool { _, all := own.directory.Members(); return len(all) == 2 }, 2*time.Second, 5*time.Millisecond)
@@ -171,9 +177,10 @@
 	assert.NotContains(t, own.client.Homes("x", false), "ended")
 }
 
-// Guards against turns refused for a store that others reach: of those that the
-// store turns away, too, an instance asked the same ones again and again.
-func TestInstanceThatReachesStoreIsFoundAmongOthers(t *testing.T) {
+// Guards against turns refused though other instances reach the store: an
+// instance relayed through the same few peers again and again, which the store
+// rejected as well.
+func TestRelayFindsInstanceThatReachesStore(t *testing.T) {
 	memory := storetest.New()
 	own := start(t, memory, "own")
 	start(t, memory, "open")
@@ -191,13 +198,13 @@
 			failed++
 		}
 	}
-	assert.LessOrEqual(t, failed, 3, "each call asks two others")
+	assert.LessOrEqual(t, failed, 3, "each call tries two others")
 }
 
-// While the store is away an instance takes itself for cut off, and turns its
-// callers away at once, since one other instance has ended or waits for the
-// store itself.
-func TestOneInstanceThatDoesNotAnswerIsolatesNoOther(t *testing.T) {
+// Guards against an instance that considers itself partitioned, and rejects its
+// callers, because a single other instance has terminated or is itself waiting
+// for an unavailable store.
+func TestOneUnresponsiveInstanceDoesNotIsolate(t *testing.T) {
 	memory := storetest.New()
 	own, ended, living := start(t, memory, "own"), start(t, memory, "ended"), start(t, memory, "living")
 	require.Eventually(t, func() bool { _, all := own.directory.Members(); return len(all) == 3 }, 2*time.Second, 5*time.Millisecond)
@@ -211,34 +218,35 @@
 	ended.server.CloseClientConnections()
 	ended.server.Close()
 	require.Error(t, borrow("ended", "p"))
-	assert.False(t, own.directory.Isolated(), "one has ended")
+	assert.False(t, own.directory.Isolated(), "one has terminated")
 	require.Error(t, borrow("living", "slow"))
-	assert.False(t, own.directory.Isolated(), "the other was too late")
+	assert.False(t, own.directory.Isolated(), "the other only timed out")
 	living.server.CloseClientConnections()
 	living.server.Close()
 	require.Eventually(t, func() bool { _ = borrow("living", "p"); return own.directory.Isolated() }, 3*time.Second, 20*time.Millisecond)
 }
 
-// Guards against budget that nobody gives back: a row that was written through
-// another instance, and whose answer was lost, was taken for refused.
-func TestRelayedWriteWithoutAnswerIsNoRefusal(t *testing.T) {
+// Guards against budget tokens that are never released: a row was written
+// through another instance, the response was lost, and the write was treated as
+// rejected.
+func TestRelayedWriteWithoutResponseIsUnanswered(t *testing.T) {
 	memory := storetest.New()
 	shut, mute := start(t, memory, "shut"), start(t, memory, "mute")
-	time.Sleep(50 * time.Millisecond) // they find each other
+	time.Sleep(50 * time.Millisecond) // lets the instances find each other
 	shut.door.Set(platformtest.Busy)
 	mute.door.Set(platformtest.Mute)
 	err := shut.put(t)
 	assert.True(t, store.Is(err, store.FailureUnanswered), "%v", err)
 	row, rowErr := store.Get(context.Background(), memory, key)
 	require.NoError(t, rowErr)
-	assert.Equal(t, shut.owner, string(row.Value), "it is applied")
+	assert.Equal(t, shut.owner, string(row.Value), "the write is applied")
 }
 
-// Symptom: turns of a program are refused as held though the holder lives.
-// Events: an instance restarts; a write of its earlier start, whose answer
-// was lost, is applied after it joined again. Cause: the row named an owner
-// that is gone.
-func TestInstanceJoinsAgainWhenDisplaced(t *testing.T) {
+// Guards against turns refused as held while the holder is running. An instance
+// restarts, and a write of its previous incarnation, whose response was lost,
+// is applied after the restart: the row then names an owner that no longer
+// exists.
+func TestInstanceRejoinsWhenEntryOverwritten(t *testing.T) {
 	memory := storetest.New()
 	asker, holder := start(t, memory, "asker"), start(t, memory, "holder")
 	time.Sleep(50 * time.Millisecond)
@@ -250,32 +258,32 @@
 	require.NoError(t, err)
 	require.Eventually(t, func() bool {
 		asker.client.GiveBack(context.Background(), "p", []string{"holder-1.1"})
-		return holder.asked.Load() != nil
+		return holder.releaseRequested.Load() != nil
 	}, 2*time.Second, 20*time.Millisecond)
 }
 
-func TestHolderIsAskedByItsAccount(t *testing.T) {
+func TestGiveBackCallsAccountOwner(t *testing.T) {
 	memory := storetest.New()
 	asker, holder, other := start(t, memory, "asker"), start(t, memory, "holder"), start(t, memory, "other")
 	time.Sleep(50 * time.Millisecond)
 	asker.client.GiveBack(context.Background(), "p", []string{"holder-1.7", "gone-1.2", "odd"})
-	require.NotNil(t, holder.asked.Load())
-	assert.Equal(t, "p", *holder.asked.Load())
-	assert.Nil(t, other.asked.Load())
+	require.NotNil(t, holder.releaseRequested.Load())
+	assert.Equal(t, "p", *holder.releaseRequested.Load())
+	assert.Nil(t, other.releaseRequested.Load())
 	require.NoError(t, holder.directory.Leave(context.Background(), memory))
-	holder.asked.Store(nil)
+	holder.releaseRequested.Store(nil)
 	require.Eventually(t, func() bool {
-		holder.asked.Store(nil)
+		holder.releaseRequested.Store(nil)
 		asker.client.GiveBack(context.Background(), "p", []string{"holder-1.7"})
-		return holder.asked.Load() == nil
-	}, time.Second, 10*time.Millisecond, "who left is not asked")
+		return holder.releaseRequested.Load() == nil
+	}, time.Second, 10*time.Millisecond, "an instance that left is not called")
 }
 
-// Symptom: while one instance is slow, programs have accounts everywhere.
-// Events: it is late with turns, for which there is little time. Cause it
-// guards against: an instance that is late with turns counted as one that
-// cannot be reached, and was nobody's home for a second.
-func TestInstanceLateWithTurnsStaysHome(t *testing.T) {
+// Guards against programs that have accounts at many instances while one
+// instance is slow. The timeout of requests for turns is short; an instance
+// that exceeded it was treated as unreachable and was no program's home for a
+// second.
+func TestTurnsTimeoutDoesNotExcludeHome(t *testing.T) {
 	memory := storetest.New()
 	a, _ := start(t, memory, "a"), start(t, memory, "b")
 	program := ""
@@ -295,19 +303,19 @@
 	assert.Empty(t, held)
 	ctx, cancel := context.WithTimeout(context.Background(), 20*time.Millisecond)
 	defer cancel()
-	var unreached *entrypeer.UnreachedError
+	var unreached *entrypeer.TransportError
 	_, err = a.client.Turns(ctx, "b", "slow")
 	require.ErrorAs(t, err, &unreached)
 	assert.Equal(t, "b", a.client.Home(program))
-	var absent *entrypeer.AbsentError
+	var absent *entrypeer.UnavailableError
 	_, err = a.client.Turns(context.Background(), "nobody", "t1")
 	require.ErrorAs(t, err, &absent)
 }
 
-// All instances name the same home for a program, and programs have homes at
-// all of them; the home lends, or says why not, and is repaid. One that
-// cannot be reached is nobody's home for a second.
-func TestHomeOfProgramLends(t *testing.T) {
+// All instances agree on the home of a program, and programs are spread over
+// all of them. The home grants a loan or reports why not, and is repaid. An
+// unreachable instance is no program's home for a second.
+func TestHomeGrantsLoans(t *testing.T) {
 	memory := storetest.New()
 	a, b := start(t, memory, "a"), start(t, memory, "b")
 	ctx := context.Background()
@@ -324,14 +332,14 @@
 	require.NoError(t, err)
 	assert.Equal(t, []account.Place{{Part: "conversation", Endpoint: "e1", Tokens: 5000}}, loan.Places)
 	require.NoError(t, a.client.Repay(ctx, "b", []account.Repayment{{Loan: loan.ID, Spent: 300}}))
-	assert.Equal(t, int64(300), b.repaid.Load())
+	assert.Equal(t, int64(300), b.repaidTokens.Load())
 	var spent *account.SpentError
 	_, err = a.client.Borrow(ctx, "b", program, account.Borrowing{Turn: budget.FirstPart(567), Total: 100, Parts: parts})
 	require.ErrorAs(t, err, &spent)
 	var held *account.HeldError
 	_, err = a.client.Borrow(ctx, "b", "held", account.Borrowing{Turn: budget.FirstPart(567), Total: 9900, Parts: parts})
 	require.ErrorAs(t, err, &held)
-	var lend *entrypeer.LendError
+	var lend *entrypeer.BorrowError
 	_, err = a.client.Borrow(ctx, "b", "unknown", account.Borrowing{Turn: budget.FirstPart(567), Total: 9900, Parts: parts})
 	require.ErrorAs(t, err, &lend)
 	_, err = a.client.Borrow(ctx, "nobody", program, account.Borrowing{Turn: budget.FirstPart(567), Total: 9900, Parts: parts})
@@ -340,18 +348,17 @@
 	_, err = a.client.Borrow(ctx, "b", "stopped", account.Borrowing{Turn: budget.FirstPart(567), Total: 9900, Parts: parts})
 	require.ErrorAs(t, err, &lend)
 	require.NoError(t, a.client.Repay(ctx, "b", []account.Repayment{{Loan: loan.ID}}))
-	assert.Empty(t, a.client.Home(program), "it answers, but lends nothing: another home, the same for all")
+	assert.Empty(t, a.client.Home(program), "the home responds but grants no loans, so all instances pick another")
 	b.server.Close()
 	_, err = a.client.Borrow(ctx, "b", program, account.Borrowing{Turn: budget.FirstPart(567), Total: 9900, Parts: parts})
 	require.Error(t, err)
 	assert.Empty(t, a.client.Home(program))
 }
 
-// Symptom: programs are told that their budget is spent or held while the
-// store is slow, though they have used a third of it. Events: a home grants a
-// turn after whoever asked it has given up; the loan is never repaid. Cause:
-// a loan that nobody learnt of counted as spent.
-func TestLoanThatNobodyLearnsOfIsSettled(t *testing.T) {
+// Guards against programs refused as spent or held while the store is slow,
+// though they have used a third of their budget. A home grants a loan after the
+// borrower has given up waiting; the loan is never repaid and counted as spent.
+func TestLoanRepaidWhenBorrowerGaveUp(t *testing.T) {
 	memory := storetest.New()
 	a, b := start(t, memory, "a"), start(t, memory, "b")
 	known := false
@@ -365,15 +372,15 @@
 	defer cancel()
 	_, err := a.client.Borrow(ctx, "b", "slow", account.Borrowing{Turn: budget.FirstPart(567), Total: 9900, Parts: []string{"conversation"}})
 	require.Error(t, err)
-	assert.Eventually(t, func() bool { return b.settled.Load() == 1 }, time.Second, 5*time.Millisecond)
-	assert.Zero(t, b.repaid.Load())
+	assert.Eventually(t, func() bool { return b.repaidLoans.Load() == 1 }, time.Second, 5*time.Millisecond)
+	assert.Zero(t, b.repaidTokens.Load())
 }
 
-// Symptom: a program is told to wait for budget that died with an instance.
-// Events: the instance starts again, under a new owner name. Cause: it was not
-// known that the start before had ended. A start later than the one known, and
-// one of an instance that nobody knows, may live.
-func TestStartThatWasReplacedIsGone(t *testing.T) {
+// Guards against a program that waits for tokens of a crashed instance. The
+// instance restarts under a new owner name, which must mark the previous
+// incarnation as gone. An incarnation later than the recorded one, and one of
+// an unknown instance, may still be running.
+func TestReplacedIncarnationIsGone(t *testing.T) {
 	memory := storetest.New()
 	began := time.UnixMilli(1_764_720_000_000)
 	older, known, newer := entrypeer.NewOwner("m-1", began), entrypeer.NewOwner("m-1", began.Add(time.Second)), entrypeer.NewOwner("m-1", began.Add(2*time.Second))
@@ -383,18 +390,18 @@
 	_, err = memory.Commit(context.Background(), store.Transaction{Puts: []store.Put{{Key: store.Key{Table: "entries", Name: store.Name("m-1")}, Value: value}}})
 	require.NoError(t, err)
 	assert.Eventually(t, func() bool { return a.client.Gone(older + ".1") }, time.Second, 5*time.Millisecond)
-	for _, lives := range []string{known, newer, entrypeer.NewOwner("m-2", began), "m-1", ""} {
-		assert.False(t, a.client.Gone(lives+".1"), lives)
+	for _, running := range []string{known, newer, entrypeer.NewOwner("m-2", began), "m-1", ""} {
+		assert.False(t, a.client.Gone(running+".1"), running)
 	}
 }
 
-// Symptom: for eight seconds after an outage of the store a program of one
-// turn is told that its budget is spent, though it spent nothing. Events: one
-// instance grants the turn, and cannot rebuild its conversation; the program
-// comes to another one, to which the first had been late, again and again, while
-// both waited for the store. Cause: who was late was not asked to give back, for
-// up to sixteen seconds.
-func TestLateInstanceIsAskedToGiveBack(t *testing.T) {
+// Guards against a program of one turn refused as spent for eight seconds after
+// a store outage, though it has spent nothing. One instance grants the turn but
+// cannot rebuild the conversation; the program moves to another instance, to
+// whose calls the first had repeatedly responded late while both waited for the
+// store. For up to 16 seconds an instance that was late was not asked to
+// release its tokens.
+func TestGiveBackCallsInstanceAfterTimeouts(t *testing.T) {
 	memory := storetest.New()
 	a, b := start(t, memory, "a"), start(t, memory, "b")
 	require.Eventually(t, func() bool {
@@ -408,10 +415,10 @@
 		require.Error(t, err)
 	}
 	a.client.GiveBack(context.Background(), "p", []string{b.owner + ".1"})
-	if asked := b.asked.Load(); assert.NotNil(t, asked) {
-		assert.Equal(t, "p", *asked)
+	if releaseRequested := b.releaseRequested.Load(); assert.NotNil(t, releaseRequested) {
+		assert.Equal(t, "p", *releaseRequested)
 	}
-	time.Sleep(1100 * time.Millisecond) // it is left out as a home for a second, not longer
+	time.Sleep(1100 * time.Millisecond) // excluded as a home for one second, no longer
 	homes := map[string]bool{}
 	for n := range 100 {
 		homes[a.client.Home(fmt.Sprint("p", n))] = true
@@ -419,19 +426,20 @@
 	assert.True(t, homes["b"])
 }
 
-// Guards against a busy partition that is made busier: a call that waits in it is
-// made again through two other instances, though the own way is answered.
-func TestBusyPartitionIsNotAskedThroughOthers(t *testing.T) {
+// Guards against load added to an overloaded partition: a call waiting in it
+// was repeated through two other instances although the direct connection
+// served other calls.
+func TestBusyPartitionIsNotRelayed(t *testing.T) {
 	memory := storetest.New()
 	own, other := start(t, memory, "own"), start(t, memory, "other")
-	time.Sleep(50 * time.Millisecond) // they find each other
+	time.Sleep(50 * time.Millisecond) // lets the instances find each other
 	own.door.SetPartly(platformtest.Silent, func(partition string) bool { return partition == "busy" })
 	ctx, cancel := context.WithCancel(context.Background())
 	answered := make(chan error, 1)
 	go func() {
 		defer func() { answered <- nil }()
 		for ctx.Err() == nil {
-			_, _ = own.relay.Read(ctx, store.Range{Table: "t", Partition: "p"}) // ends with ctx
+			_, _ = own.relay.Read(ctx, store.Range{Table: "t", Partition: "p"}) // fails once ctx has ended
 			time.Sleep(20 * time.Millisecond)
 		}
 	}()
@@ -440,5 +448,5 @@
 	cancel()
 	require.NoError(t, <-answered)
 	assert.True(t, store.Is(err, store.FailureUnanswered), "%v", err)
-	assert.LessOrEqual(t, other.door.Calls()-calls, int64(1), "but for its own watch")
+	assert.LessOrEqual(t, other.door.Calls()-calls, int64(1), "no call but its own watch")
 }
--- a/entrypeer/lending.go
+++ b/entrypeer/lending.go
@@ -9,141 +9,158 @@
 	"github.com/wagtaildrum/wagtaildrum/budget"
 )
 
-// verdict is what a home says of a turn that another instance asks it for.
+// verdict is a home instance's decision on a request to borrow. It is encoded
+// as a number.
 type verdict int
 
 const (
+	// verdictLent means that the loan was granted.
 	verdictLent verdict = iota
-	// verdictSpent: the program's budget does not hold the turn.
+	// verdictSpent means that the program's budget does not cover the turn.
 	verdictSpent
-	// verdictHeld: it may later.
+	// verdictHeld means that the budget may cover the turn later: other
+	// instances hold the remaining tokens.
 	verdictHeld
-	// verdictUnknown: the home cannot tell.
+	// verdictUnknown means that the home cannot decide, for example because the
+	// store failed.
 	verdictUnknown
-	// verdictStopped: the home stops, and lends nothing any more.
+	// verdictStopped means that the home is shutting down and grants no further
+	// loans.
 	verdictStopped
 )
 
-// borrowMessage asks for a part of a program's budget.
-type borrowMessage struct {
+// borrowRequest requests a loan of a program's tokens.
+type borrowRequest struct {
 	Program   string
 	Borrowing account.Borrowing
 }
 
-type borrowAnswer struct {
+// borrowResponse is the decision on a borrowRequest. Loan is set with
+// verdictLent; Detail holds the holders of the tokens with verdictHeld and the
+// text of the error with verdictUnknown and verdictStopped.
+type borrowResponse struct {
 	Verdict verdict
 	Loan    account.Loan
 	Detail  string
 }
 
-type repayMessage struct {
+// repayRequest reports the final usage of loans to the home that granted them.
+type repayRequest struct {
 	Repayments []account.Repayment
 }
 
-// LendError is a home that could not tell whether a program's budget holds a
-// turn.
-type LendError struct {
+// BorrowError is returned when the home instance could not decide whether a
+// program's budget covers a turn, is stopping, or is not in the directory.
+type BorrowError struct {
 	instance, detail string
 }
 
-// Error names the instance and what it said.
-func (e *LendError) Error() string { return "instance " + e.instance + ": " + e.detail }
+// Error returns the instance and the reason.
+func (e *BorrowError) Error() string { return "instance " + e.instance + ": " + e.detail }
 
-// Home implements account.Lenders: of all instances known here that were not
-// found out of reach just now, rendezvous hashing picks one. Instances that
-// know others pick others: then a program has two accounts, which costs a
-// write more.
+// Home implements account.Lenders. Rendezvous hashing picks the home among this
+// instance and all recorded ones that are not excluded. Instances whose
+// directories differ may pick different homes; the program then has two
+// accounts, which costs one more write.
 func (client *Client) Home(program string) string {
 	return client.directory.home(program)
 }
 
+// home returns the name of a program's home instance, "" if that is this one.
 func (directory *Directory) home(program string) string {
 	directory.mu.Lock()
 	defer directory.mu.Unlock()
 	shard := budget.Shard(program)
-	home, best := "", budget.Score(shard, directory.key().Name)
+	home, best := "", budget.Score(shard, directory.selfKey().Name)
 	now := directory.clock.Now()
 	for name := range directory.instances {
 		score := budget.Score(shard, name)
-		if score > best && !directory.left(name, now) {
+		if score > best && !directory.isExcluded(name, now) {
 			home, best = name, score
 		}
 	}
 	return home
 }
 
-// Borrow implements account.Lenders.
+// Borrow implements account.Lenders. It returns an *account.SpentError or
+// *account.HeldError as decided by the home, a *BorrowError if the home could
+// not decide, and the error of the call otherwise.
 func (client *Client) Borrow(ctx context.Context, name, program string, borrowing account.Borrowing) (account.Loan, error) {
-	instance, ok := client.directory.named(name)
+	instance, ok := client.directory.byName(name)
 	if !ok {
-		return account.Loan{}, &LendError{instance: name, detail: "left meanwhile"}
+		return account.Loan{}, &BorrowError{instance: name, detail: "not in the directory"}
 	}
-	var answer borrowAnswer
-	if err := client.call(ctx, instance, pathBorrow, &borrowMessage{Program: program, Borrowing: borrowing}, &answer); err != nil {
+	var response borrowResponse
+	if err := client.call(ctx, instance, pathBorrow, &borrowRequest{Program: program, Borrowing: borrowing}, &response); err != nil {
 		return account.Loan{}, err
 	}
-	switch answer.Verdict {
+	switch response.Verdict {
 	case verdictLent:
-		return answer.Loan, nil
+		return response.Loan, nil
 	case verdictSpent:
 		return account.Loan{}, account.NewSpentError(program, borrowing.Total)
 	case verdictHeld:
-		return account.Loan{}, account.NewHeldError(program, answer.Detail)
+		return account.Loan{}, account.NewHeldError(program, response.Detail)
 	case verdictStopped:
-		// Each borrower would grant by an account of its own until the home
-		// has left: they agree on another one instead.
-		client.directory.leaving(instance)
+		// Until a stopping home has left the table, each borrower would grant
+		// turns from an account of its own. Excluding the home makes them agree
+		// on another one.
+		client.directory.markStopping(instance)
 	}
-	return account.Loan{}, &LendError{instance: name, detail: answer.Detail}
+	return account.Loan{}, &BorrowError{instance: name, detail: response.Detail}
 }
 
-// Repay implements account.Lenders.
+// Repay implements account.Lenders. It returns a *BorrowError if the directory
+// has no instance called name.
 func (client *Client) Repay(ctx context.Context, name string, repayments []account.Repayment) error {
-	instance, ok := client.directory.named(name)
+	instance, ok := client.directory.byName(name)
 	if !ok {
-		return &LendError{instance: name, detail: "left meanwhile"}
+		return &BorrowError{instance: name, detail: "not in the directory"}
 	}
-	return client.call(ctx, instance, pathRepay, &repayMessage{Repayments: repayments}, nil)
+	return client.call(ctx, instance, pathRepay, &repayRequest{Repayments: repayments}, nil)
 }
 
-func (directory *Directory) named(name string) (Instance, bool) {
+// byName returns the instance of the given name, excluded or not.
+func (directory *Directory) byName(name string) (Instance, bool) {
 	directory.mu.Lock()
 	defer directory.mu.Unlock()
 	instance, ok := directory.instances[name]
 	return instance, ok
 }
 
-func (server *Server) borrow(w http.ResponseWriter, r *http.Request) {
-	var message borrowMessage
+// handleBorrow serves a request for a loan.
+func (server *Server) handleBorrow(w http.ResponseWriter, r *http.Request) {
+	var message borrowRequest
 	if !decode(w, r, &message) {
 		return
 	}
-	answer := borrowAnswer{}
+	response := borrowResponse{}
 	var err error
-	answer.Loan, err = server.Lender.Lend(r.Context(), message.Program, message.Borrowing)
+	response.Loan, err = server.Lender.Lend(r.Context(), message.Program, message.Borrowing)
 	var spent *account.SpentError
 	var held *account.HeldError
 	var stopped *account.StoppedError
 	switch {
 	case errors.As(err, &stopped):
-		answer.Verdict, answer.Detail = verdictStopped, err.Error()
+		response.Verdict, response.Detail = verdictStopped, err.Error()
 	case errors.As(err, &spent):
-		answer.Verdict = verdictSpent
+		response.Verdict = verdictSpent
 	case errors.As(err, &held):
-		answer.Verdict, answer.Detail = verdictHeld, held.Holders()
+		response.Verdict, response.Detail = verdictHeld, held.Holders()
 	case err != nil:
-		answer.Verdict, answer.Detail = verdictUnknown, err.Error()
+		response.Verdict, response.Detail = verdictUnknown, err.Error()
 	case r.Context().Err() != nil:
-		// Who asked has given up, and would not learn of the loan: left
-		// standing it would count as spent.
-		server.Lender.Repaid([]account.Repayment{{Loan: answer.Loan.ID}})
+		// The caller has given up and will not receive the loan, so it is
+		// repaid at once: otherwise it would count as spent.
+		server.Lender.Repaid([]account.Repayment{{Loan: response.Loan.ID}})
 		return
 	}
-	server.reply(w, &answer)
+	server.reply(w, &response)
 }
 
-func (server *Server) repay(w http.ResponseWriter, r *http.Request) {
-	var message repayMessage
+// handleRepay serves the repayment of loans.
+func (server *Server) handleRepay(w http.ResponseWriter, r *http.Request) {
+	var message repayRequest
 	if !decode(w, r, &message) {
 		return
 	}
--- a/entrypeer/message.go
+++ b/entrypeer/message.go
@@ -6,7 +6,7 @@
 	"github.com/wagtaildrum/wagtaildrum/store"
 )
 
-// Paths of the calls.
+// Paths of the calls between entry instances.
 const (
 	pathGiveBack = "/entry/give-back"
 	pathStore    = "/entry/store"
@@ -17,26 +17,30 @@
 	pathHandOver = "/entry/hand-over"
 )
 
-// giveBackMessage asks for what is held of a program's budget.
-type giveBackMessage struct {
+// giveBackRequest requests the release of the unused tokens that the receiver
+// holds of a program's budget.
+type giveBackRequest struct {
 	Program string
 }
 
-// storeMessage asks for one call to the store; one field is set.
-type storeMessage struct {
+// storeRequest requests one call to the store. Exactly one field is set.
+type storeRequest struct {
 	Commit *store.Transaction
 	Read   *store.Range
-	Watch  *watchMessage
+	Watch  *watchRequest
 }
 
-type watchMessage struct {
+// watchRequest holds the arguments of store.Store.Watch.
+type watchRequest struct {
 	Table string
 	After uint64
 	Wait  time.Duration
 }
 
-// storeAnswer is the answer of the store, or its failure.
-type storeAnswer struct {
+// storeResponse holds the store's result or its failure. Version is the result
+// of a commit, Page that of a read or watch. Failure, Detail and Rows describe
+// the failure if Failed is set.
+type storeResponse struct {
 	Version uint64
 	Page    store.Page
 	Failed  bool
@@ -45,13 +49,14 @@
 	Rows    []store.Row
 }
 
-// failure returns the store's *store.Error, nil if it served the call.
-func (answer *storeAnswer) failure() error {
+// failure returns the failure as a *store.Error, and nil if the store served
+// the call.
+func (response *storeResponse) failure() error {
 	switch {
-	case !answer.Failed:
+	case !response.Failed:
 		return nil
-	case answer.Failure == store.FailureConflict:
-		return store.NewConflict("relayed", answer.Rows)
+	case response.Failure == store.FailureConflict:
+		return store.NewConflict("relayed", response.Rows)
 	}
-	return store.NewError(answer.Failure, "relayed", answer.Detail)
+	return store.NewError(response.Failure, "relayed", response.Detail)
 }
--- a/entrypeer/owner.go
+++ b/entrypeer/owner.go
@@ -10,33 +10,37 @@
 	"github.com/wagtaildrum/wagtaildrum/store"
 )
 
-// NewOwner returns the name of a start, at now, of the instance named: what it
-// owns is named after it. No two starts have the same.
+// NewOwner returns a name for the incarnation of an instance that starts at
+// now. The names of the resources that the incarnation owns begin with it. A
+// random part makes it unique even for two starts in the same millisecond.
 func NewOwner(instance string, now time.Time) string {
 	return fmt.Sprintf("%s-%x-%08x", instance, now.UnixMilli(), rand.Uint32())
 }
 
-// start is what the name of a start tells.
-type start struct {
-	instance string
-	began    int64 // Unix milliseconds of its own clock
+// incarnation is the parsed form of a name that NewOwner returned.
+type incarnation struct {
+	instance  string
+	startedAt int64 // Unix milliseconds by the instance's own clock
 }
 
-// parseOwner returns false for a name that NewOwner did not make.
-func parseOwner(owner string) (start, bool) {
-	rest, _, ok := cutLast(owner)
+// parseOwner parses a name that NewOwner returned, and returns false for any
+// other.
+func parseOwner(owner string) (incarnation, bool) {
+	prefix, _, ok := cutAtLastHyphen(owner)
 	if !ok {
-		return start{}, false
+		return incarnation{}, false
 	}
-	instance, stamp, ok := cutLast(rest)
+	instance, stamp, ok := cutAtLastHyphen(prefix)
 	if !ok {
-		return start{}, false
+		return incarnation{}, false
 	}
-	began, err := strconv.ParseInt(stamp, 16, 64)
-	return start{instance: instance, began: began}, err == nil
+	startedAt, err := strconv.ParseInt(stamp, 16, 64)
+	return incarnation{instance: instance, startedAt: startedAt}, err == nil
 }
 
-func cutLast(s string) (before, after string, found bool) {
+// cutAtLastHyphen splits s around its last hyphen. If there is none it returns
+// s, "" and false.
+func cutAtLastHyphen(s string) (before, after string, found bool) {
 	at := strings.LastIndexByte(s, '-')
 	if at < 0 {
 		return s, "", false
@@ -44,36 +48,39 @@
 	return s[:at], s[at+1:], true
 }
 
-// accountOwner returns the start that owns a budget account.
+// accountOwner returns the owner part of a budget account's name, and "" if it
+// has none.
 func accountOwner(account string) string {
 	return account[:max(strings.LastIndexByte(account, '.'), 0)]
 }
 
-// Gone implements account.Holders: it reports whether a later start is known of
-// the instance that owns an account. An instance that died and was not started
-// again is not known to be gone: it may only be cut off. News may be late, so
-// that a start that is known here may be the earlier of the two.
+// Gone implements account.Holders. It reports whether a later incarnation is
+// recorded of the instance that owns an account. A crashed instance that has
+// not restarted is not reported as gone, since it may just be partitioned.
+// Changes of the directory may arrive late, so the recorded incarnation may
+// also be the earlier of the two.
 func (client *Client) Gone(account string) bool {
 	owner := accountOwner(account)
-	of, ok := parseOwner(owner)
+	previous, ok := parseOwner(owner)
 	if !ok {
 		return false
 	}
-	current, ok := client.directory.ownerOf(of.instance)
+	current, ok := client.directory.currentOwner(previous.instance)
 	if !ok || current == owner {
 		return false
 	}
-	later, ok := parseOwner(current)
-	return ok && later.began > of.began
+	latest, ok := parseOwner(current)
+	return ok && latest.startedAt > previous.startedAt
 }
 
-// ownerOf returns the start of an instance that is known here.
-func (directory *Directory) ownerOf(instance string) (string, bool) {
+// currentOwner returns the owner name of the recorded incarnation of an
+// instance, and false if the directory has no such instance.
+func (directory *Directory) currentOwner(instance string) (string, bool) {
 	if instance == directory.self.Name {
 		return directory.self.Owner, true
 	}
 	directory.mu.Lock()
 	defer directory.mu.Unlock()
-	known, ok := directory.instances[store.Name(instance)]
-	return known.Owner, ok
+	recorded, ok := directory.instances[store.Name(instance)]
+	return recorded.Owner, ok
 }
--- a/entrypeer/relay.go
+++ b/entrypeer/relay.go
@@ -8,92 +8,100 @@
 )
 
 const (
-	// relayTimeout bounds a call to the store through another instance.
+	// relayTimeout bounds a store call through another instance. A watch gets
+	// its wait in addition.
 	relayTimeout = 600 * time.Millisecond
-	// relayTries is how many other instances are asked for one call.
-	relayTries = 2
+	// maxRelayAttempts is the number of other instances tried for one call.
+	maxRelayAttempts = 2
 )
 
-// Relay is a store that is reached through other instances while this one's
-// own way to it fails. A call that had no answer here is made again there:
-// its conditions see to it that it is not done twice, as for any call that
-// is repeated. While the own way answers other calls it is no use: the call
-// waits in a partition that is busy, and a second one would wait behind it.
+// Relay is a store that falls back to other instances while the direct
+// connection of this instance to the store fails. A call without a response is
+// repeated through them. As with any repeated call, the conditions of a
+// transaction prevent it from being applied twice.
+//
+// There is no fallback while the direct connection still serves other calls:
+// the call is then waiting in an overloaded partition, and a second one would
+// wait behind it.
 type Relay struct {
 	direct *store.Guard
 	client *Client
 }
 
-// NewRelay returns a relay over this instance's own way.
+// NewRelay returns a Relay that tries direct first and then the instances known
+// to client.
 func NewRelay(direct *store.Guard, client *Client) *Relay {
 	return &Relay{direct: direct, client: client}
 }
 
 // Commit implements store.Store.
 func (relay *Relay) Commit(ctx context.Context, tx store.Transaction) (uint64, error) {
-	began := time.Now()
+	startedAt := time.Now()
 	version, err := relay.direct.Commit(ctx, tx)
-	if !store.Unserved(err) || relay.direct.AnsweredSince(began) {
+	if !store.Unserved(err) || relay.direct.AnsweredSince(startedAt) {
 		return version, err
 	}
-	answer, err := relay.through(ctx, &storeMessage{Commit: &tx}, relayTimeout, err)
-	return answer.Version, err
+	response, err := relay.viaPeers(ctx, &storeRequest{Commit: &tx}, relayTimeout, err)
+	return response.Version, err
 }
 
 // Read implements store.Store.
 func (relay *Relay) Read(ctx context.Context, r store.Range) (store.Page, error) {
-	began := time.Now()
+	startedAt := time.Now()
 	page, err := relay.direct.Read(ctx, r)
-	if !store.Unserved(err) || relay.direct.AnsweredSince(began) {
+	if !store.Unserved(err) || relay.direct.AnsweredSince(startedAt) {
 		return page, err
 	}
-	answer, err := relay.through(ctx, &storeMessage{Read: &r}, relayTimeout, err)
-	return answer.Page, err
+	response, err := relay.viaPeers(ctx, &storeRequest{Read: &r}, relayTimeout, err)
+	return response.Page, err
 }
 
-// Watch implements store.Store.
+// Watch implements store.Store. While the direct connection is unavailable it
+// goes to other instances at once.
 func (relay *Relay) Watch(ctx context.Context, table string, after uint64, wait time.Duration) (store.Page, error) {
-	err := error(store.NewError(store.FailureRefused, "watch", "the store is away"))
+	err := error(store.NewError(store.FailureRefused, "watch", "store unavailable on the direct connection"))
 	if !relay.direct.Away("") {
 		var page store.Page
 		if page, err = relay.direct.Watch(ctx, table, after, wait); !store.Unserved(err) {
 			return page, err
 		}
 	}
-	answer, err := relay.through(ctx, &storeMessage{Watch: &watchMessage{Table: table, After: after, Wait: wait}}, wait+relayTimeout, err)
-	return answer.Page, err
+	response, err := relay.viaPeers(ctx, &storeRequest{Watch: &watchRequest{Table: table, After: after, Wait: wait}}, wait+relayTimeout, err)
+	return response.Page, err
 }
 
-// through makes a call through other instances. If none serves it, the
-// failure of the own way stands, unless one of them may have done what was asked:
-// then the call counts as unanswered.
-func (relay *Relay) through(ctx context.Context, message *storeMessage, timeout time.Duration, own error) (storeAnswer, error) {
-	for _, instance := range relay.client.directory.some(relayTries) {
+// viaPeers makes a call through other instances, one after the other. If none
+// serves it, it returns localErr, the failure of the direct connection, unless
+// one of them may have executed the call: then it returns a
+// store.FailureUnanswered.
+func (relay *Relay) viaPeers(ctx context.Context, message *storeRequest, timeout time.Duration, localErr error) (storeResponse, error) {
+	for _, instance := range relay.client.directory.relayCandidates(maxRelayAttempts) {
 		if ctx.Err() != nil {
 			break
 		}
-		answer, err := relay.ask(ctx, instance, message, timeout)
-		failure := answer.failure()
+		response, err := relay.callPeer(ctx, instance, message, timeout)
+		failure := response.failure()
 		if ctx.Err() == nil {
-			relay.client.directory.relayed(instance, err == nil && !store.Unserved(failure))
+			relay.client.directory.recordRelay(instance, err == nil && !store.Unserved(failure))
 		}
 		switch {
-		case err != nil && isDial(err):
+		case err != nil && isDialError(err):
 		case err != nil:
-			own = store.NewError(store.FailureUnanswered, "relayed", err.Error())
+			localErr = store.NewError(store.FailureUnanswered, "relayed", err.Error())
 		case !store.Unserved(failure):
-			return answer, failure
-		case answer.Failure == store.FailureUnanswered:
-			own = failure
+			return response, failure
+		case response.Failure == store.FailureUnanswered:
+			localErr = failure
 		}
 	}
-	return storeAnswer{}, own
+	return storeResponse{}, localErr
 }
 
-func (relay *Relay) ask(ctx context.Context, instance Instance, message *storeMessage, timeout time.Duration) (storeAnswer, error) {
+// callPeer makes one store call through instance, bounded by timeout.
+func (relay *Relay) callPeer(ctx context.Context, instance Instance, message *storeRequest, timeout time.Duration) (storeResponse, error) {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
-	var answer storeAnswer
-	err := relay.client.call(ctx, instance, pathStore, message, &answer)
-	return answer, err
+	var response storeResponse
+	err := relay.client.call(ctx, instance, pathStore, message, &response)
+	return response, err
 }
--- a/entrypeer/server.go
+++ b/entrypeer/server.go
@@ -12,95 +12,106 @@
 	"github.com/wagtaildrum/wagtaildrum/store"
 )
 
-// maxMessage bounds a message, in bytes: a transaction of a megabyte with
-// room for its encoding.
-const maxMessage = 4 << 20
+// maxMessageBytes bounds the size of a message: a transaction of 1 MB with
+// ample room for its encoding.
+const maxMessageBytes = 4 << 20
 
-// Server answers other entry instances.
+// Server serves the calls of other entry instances.
 type Server struct {
-	// Store is reached by this instance itself, never through another: a
-	// call goes one step at most.
+	// Store is this instance's direct connection to the store, never a Relay,
+	// so that a call is relayed at most once.
 	Store  store.Store
 	Lender Lender
-	Turns  TurnHolder
-	Quotas CreditHome
-	// Directory learns of instances that call before their entry is read.
+	Turns  TurnCache
+	Quotas QuotaHome
+	// Directory, unless nil, records instances that call before their entry has
+	// been read.
 	Directory *Directory
 	Log       *slog.Logger
 }
 
-// Lender keeps accounts of programs, as *account.Keeper does.
+// Lender manages the accounts of programs. *account.Keeper implements it.
 type Lender interface {
-	// GiveBack gives back what this instance holds of a program's budget.
+	// GiveBack releases the unused tokens that this instance holds of a
+	// program's budget.
 	GiveBack(ctx context.Context, program string) error
-	// Lend sets tokens aside for a turn at another instance.
+	// Lend reserves tokens for a turn that another instance serves. It returns
+	// an *account.SpentError, *account.HeldError or *account.StoppedError if it
+	// grants none, and another error if it cannot decide.
 	Lend(ctx context.Context, program string, borrowing account.Borrowing) (account.Loan, error)
-	// Repaid settles loans.
+	// Repaid records the final usage of loans.
 	Repaid(repayments []account.Repayment)
 }
 
-// Handler returns the calls that other instances make.
+// Handler returns the HTTP handler of the calls.
 func (server *Server) Handler() http.Handler {
 	mux := http.NewServeMux()
-	mux.HandleFunc("POST "+pathGiveBack, server.giveBack)
-	mux.HandleFunc("POST "+pathStore, server.relay)
-	mux.HandleFunc("POST "+pathBorrow, server.borrow)
-	mux.HandleFunc("POST "+pathRepay, server.repay)
-	mux.HandleFunc("POST "+pathTurns, server.turns)
-	mux.HandleFunc("POST "+pathCredit, server.credit)
-	mux.HandleFunc("POST "+pathHandOver, server.handOver)
+	mux.HandleFunc("POST "+pathGiveBack, server.handleGiveBack)
+	mux.HandleFunc("POST "+pathStore, server.handleStore)
+	mux.HandleFunc("POST "+pathBorrow, server.handleBorrow)
+	mux.HandleFunc("POST "+pathRepay, server.handleRepay)
+	mux.HandleFunc("POST "+pathTurns, server.handleTurns)
+	mux.HandleFunc("POST "+pathCredit, server.handleCredit)
+	mux.HandleFunc("POST "+pathHandOver, server.handleTransfer)
 	return mux
 }
 
-func (server *Server) giveBack(w http.ResponseWriter, r *http.Request) {
-	var message giveBackMessage
+// handleGiveBack serves the release of a program's unused tokens. It responds
+// with 503 if they could not be released.
+func (server *Server) handleGiveBack(w http.ResponseWriter, r *http.Request) {
+	var message giveBackRequest
 	if !decode(w, r, &message) {
 		return
 	}
 	if err := server.Lender.GiveBack(r.Context(), message.Program); err != nil {
-		server.Log.Info("budget not given back to another instance", "program", message.Program, "err", err)
+		server.Log.Info("budget tokens not released for another instance; responding with status 503", "program", message.Program, "err", err)
 		http.Error(w, err.Error(), http.StatusServiceUnavailable)
 		return
 	}
 	w.WriteHeader(http.StatusNoContent)
 }
 
-func (server *Server) relay(w http.ResponseWriter, r *http.Request) {
-	var message storeMessage
+// handleStore serves a relayed store call. A failure of the store is part of a
+// 200 response.
+func (server *Server) handleStore(w http.ResponseWriter, r *http.Request) {
+	var message storeRequest
 	if !decode(w, r, &message) {
 		return
 	}
-	var answer storeAnswer
+	var response storeResponse
 	var err error
 	switch {
 	case message.Commit != nil:
-		answer.Version, err = server.Store.Commit(r.Context(), *message.Commit)
+		response.Version, err = server.Store.Commit(r.Context(), *message.Commit)
 	case message.Read != nil:
-		answer.Page, err = server.Store.Read(r.Context(), *message.Read)
+		response.Page, err = server.Store.Read(r.Context(), *message.Read)
 	case message.Watch != nil:
-		answer.Page, err = server.Store.Watch(r.Context(), message.Watch.Table, message.Watch.After, message.Watch.Wait)
+		response.Page, err = server.Store.Watch(r.Context(), message.Watch.Table, message.Watch.After, message.Watch.Wait)
 	}
 	var failure *store.Error
 	if errors.As(err, &failure) {
-		answer.Failed, answer.Failure, answer.Detail, answer.Rows = true, failure.Failure(), failure.Error(), failure.Rows()
+		response.Failed, response.Failure, response.Detail, response.Rows = true, failure.Failure(), failure.Error(), failure.Rows()
 	}
-	server.reply(w, &answer)
+	server.reply(w, &response)
 }
 
-func (server *Server) reply(w http.ResponseWriter, answer any) {
-	body, err := codec.Marshal(answer)
+// reply writes response with status 200, or status 500 if it cannot be encoded.
+func (server *Server) reply(w http.ResponseWriter, response any) {
+	body, err := codec.Marshal(response)
 	if err != nil {
-		server.Log.Error("answer to another instance cannot be encoded", "err", err)
+		server.Log.Error("cannot encode the response to another instance; responding with status 500", "err", err)
 		http.Error(w, err.Error(), http.StatusInternalServerError)
 		return
 	}
-	_, _ = w.Write(body) // the other instance may have given up
+	_, _ = w.Write(body) // a write fails if the caller has closed the connection
 }
 
-func decode(w http.ResponseWriter, r *http.Request, into any) bool {
-	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxMessage))
+// decode decodes the request's body into result. If that fails it responds with
+// 400 and returns false.
+func decode(w http.ResponseWriter, r *http.Request, result any) bool {
+	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxMessageBytes))
 	if err == nil {
-		err = codec.Unmarshal(body, into)
+		err = codec.Unmarshal(body, result)
 	}
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
--- a/entrypeer/turns.go
+++ b/entrypeer/turns.go
@@ -7,48 +7,54 @@
 	"github.com/wagtaildrum/wagtaildrum/archive"
 )
 
-// TurnHolder holds turns in memory, as *archive.Archive does.
-type TurnHolder interface {
+// TurnCache holds turns in memory. *archive.Archive implements it.
+type TurnCache interface {
 	// Held returns a turn and its ancestors, as far as they are in memory.
 	Held(id string) []archive.Kept
 }
 
-// turnsMessage asks for a turn and its ancestors.
-type turnsMessage struct {
+// turnsRequest requests a turn and its ancestors.
+type turnsRequest struct {
 	ID string
 }
 
-type turnsAnswer struct {
+// turnsResponse holds the turns found in memory, the requested one first.
+type turnsResponse struct {
 	Turns []archive.Kept
 }
 
-// AbsentError is an instance that is not asked: it is not known, or could not
-// be reached just now.
-type AbsentError struct {
+// UnavailableError is returned when an instance is not called because it is not
+// in the directory or is excluded after a failure.
+type UnavailableError struct {
 	instance string
 }
 
-// Error names the instance.
-func (e *AbsentError) Error() string { return "instance " + e.instance + " is absent" }
+// Error returns the instance.
+func (e *UnavailableError) Error() string {
+	return "instance " + e.instance + " is unknown or excluded"
+}
 
-// Turns implements archive.Peers. An instance that is late with turns is not
-// left out of other calls for it: their time is a tenth of that of others.
+// Turns implements archive.Peers. It returns an *UnavailableError if the
+// directory has no instance called name or excludes it. A timeout does not
+// exclude the instance from other calls, whose timeouts are about ten times as
+// long.
 func (client *Client) Turns(ctx context.Context, name, id string) ([]archive.Kept, error) {
-	instance, ok := client.directory.present(name)
+	instance, ok := client.directory.available(name)
 	if !ok {
-		return nil, &AbsentError{instance: name}
+		return nil, &UnavailableError{instance: name}
 	}
-	var answer turnsAnswer
-	if err := client.exchange(ctx, instance, pathTurns, &turnsMessage{ID: id}, &answer); err != nil {
+	var response turnsResponse
+	if err := client.exchange(ctx, instance, pathTurns, &turnsRequest{ID: id}, &response); err != nil {
 		return nil, err
 	}
-	return answer.Turns, nil
+	return response.Turns, nil
 }
 
-func (server *Server) turns(w http.ResponseWriter, r *http.Request) {
-	var message turnsMessage
+// handleTurns serves a request for turns in memory.
+func (server *Server) handleTurns(w http.ResponseWriter, r *http.Request) {
+	var message turnsRequest
 	if !decode(w, r, &message) {
 		return
 	}
-	server.reply(w, &turnsAnswer{Turns: server.Turns.Held(message.ID)})
+	server.reply(w, &turnsResponse{Turns: server.Turns.Held(message.ID)})
 }
