--- a/discovery/doc.go
+++ b/discovery/doc.go
@@ -1,3 +1,3 @@
-// Package discovery follows what others write to the store: the operators'
-// configuration and the list of endpoints.
+// Package discovery follows tables of the store that other processes write: the
+// operators' configuration, the list of endpoints and the entry instances.
 package discovery
--- a/discovery/follower.go
+++ b/discovery/follower.go
@@ -15,83 +15,100 @@
 )
 
 const (
-	// promptWait is how long the store holds a call without news of what has
-	// to be in force within two seconds. A connection that goes silent is
-	// found out after it and the call's timeout.
-	promptWait = 1200 * time.Millisecond
-	// firstPause and maxPause are between tries after a failure.
-	firstPause = 50 * time.Millisecond
-	maxPause   = 400 * time.Millisecond
-	// firstGather is the first pause to gather changes: two calls' time.
-	firstGather = 10 * time.Millisecond
+	// promptWatchWait is how long the store holds a watch open when nothing
+	// changes, for tables whose changes must take effect within two seconds. A
+	// connection that has gone silent is detected after this time plus the
+	// call's timeout.
+	promptWatchWait = 1200 * time.Millisecond
+	// initialBackoff and maxBackoff bound the delay between attempts after a
+	// failure.
+	initialBackoff = 50 * time.Millisecond
+	maxBackoff     = 400 * time.Millisecond
+	// initialGatherDelay is the shortest delay that batches changes: the time
+	// of two calls.
+	initialGatherDelay = 10 * time.Millisecond
 )
 
-// Source is a table that is followed.
+// Source describes a table to follow and the callbacks that receive its
+// contents. A Follower calls them one at a time.
 type Source struct {
-	// Table to follow; Only, if not empty, is the one row of interest.
+	// Table is the name of the table. Only, if not empty, restricts the source
+	// to the row of that name.
 	Table, Only string
-	// Wait is how long a call is held without news: each call is charged,
-	// and a change that a silent connection hides is seen that much later.
+	// Wait is how long the store holds a watch open when nothing changes.
+	// Every call is charged, so a short wait costs calls; with a long one a
+	// change hidden by a silent connection is seen that much later.
 	Wait time.Duration
-	// Gather is how long changes are gathered, at most, while they come one
-	// after the other: where every process follows what every process writes,
-	// calls otherwise grow with the square of the processes.
+	// Gather bounds the delay by which changes in quick succession are batched;
+	// 0 disables batching. Where every process follows what every process
+	// writes, the number of calls would otherwise grow with the square of the
+	// number of processes.
 	Gather time.Duration
-	// Apply takes in one row, present or removed.
+	// Apply receives one changed row, which may be marked as removed.
 	Apply func(row store.Row)
-	// Whole takes in all rows of the table.
+	// Whole receives all rows of the table (or the row of interest) and
+	// replaces what earlier calls delivered.
 	Whole func(rows []store.Row)
-	// Lost and Back tell that the store cannot be read, and can again.
+	// Lost is called when the store becomes unavailable, and Back when it is
+	// available again.
 	Lost, Back func()
 }
 
-// Follower follows one table.
+// Follower delivers the contents and changes of one table to a Source. Use
+// NewFollower.
 type Follower struct {
 	store  store.Store
 	source Source
 	log    *slog.Logger
-	lost   tally.Counter
-	stale  tally.Gauge
-	clock  clock.Clock
-	// pause is the last pause to gather changes, gathered its end.
-	pause    time.Duration
-	gathered time.Time
+	// lost counts the times when the store became unavailable; stale is the
+	// number of seconds since it last responded.
+	lost  tally.Counter
+	stale tally.Gauge
+	clock clock.Clock
+	// gatherDelay is the last delay that batched changes, and gatheredAt when
+	// it ended.
+	gatherDelay time.Duration
+	gatheredAt  time.Time
 }
 
-// NewFollower returns a follower of source.
+// NewFollower returns a Follower of source. It reports the metrics follow_lost
+// and follow_stale_seconds to scope, tagged with the table.
 func NewFollower(s store.Store, source Source, clk clock.Clock, log *slog.Logger, scope tally.Scope) *Follower {
 	scope = scope.Tagged(map[string]string{"table": source.Table})
 	return &Follower{store: s, source: source, log: log.With("table", source.Table), clock: clk, lost: scope.Counter("follow_lost"), stale: scope.Gauge("follow_stale_seconds")}
 }
 
-// Run follows the table until ctx ends, then reports on done.
+// Run reads the table, then watches it for changes, until ctx ends. After a
+// failure it retries with backoff; if the store no longer has the history since
+// the last version seen, it reads the full table again. It sends nil on done
+// when it returns.
 func (follower *Follower) Run(ctx context.Context, done chan<- error) {
-	after, whole := uint64(0), false
-	backoff := retry.Backoff{First: firstPause, Most: maxPause}
+	after, synced := uint64(0), false
+	backoff := retry.Backoff{First: initialBackoff, Most: maxBackoff}
 	failing := false
-	since := follower.clock.Now()
+	lastSuccess := follower.clock.Now()
 	for ctx.Err() == nil {
 		var err error
-		if whole {
-			after, err = follower.next(ctx, after)
+		if synced {
+			after, err = follower.applyChanges(ctx, after)
 		} else {
-			after, err = follower.all(ctx)
-			whole = err == nil
+			after, err = follower.readAll(ctx)
+			synced = err == nil
 		}
 		now := follower.clock.Now()
 		if err == nil {
 			if failing {
-				follower.log.Info("store regained", "version", after, "away", now.Sub(since))
+				follower.log.Info("store available again; following the table from this version", "version", after, "away", now.Sub(lastSuccess))
 				follower.source.Back()
 			}
-			failing, since = false, now
-			backoff = retry.Backoff{First: firstPause, Most: maxPause}
+			failing, lastSuccess = false, now
+			backoff = retry.Backoff{First: initialBackoff, Most: maxBackoff}
 			follower.stale.Update(0)
 			continue
 		}
 		if store.Is(err, store.FailureCompacted) {
-			follower.log.Info("store forgot its history: reading the whole table", "version", after)
-			whole = false
+			follower.log.Info("store no longer has the changes since this version; reading the full table again", "version", after)
+			synced = false
 			continue
 		}
 		if ctx.Err() != nil {
@@ -99,18 +116,19 @@
 		}
 		if !failing {
 			follower.lost.Inc(1)
-			follower.log.Warn("store lost: going on with what is known", "version", after, "err", err)
+			follower.log.Warn("store unavailable; continuing with the last state read and retrying", "version", after, "err", err)
 			follower.source.Lost()
 		}
 		failing = true
-		follower.stale.Update(now.Sub(since).Seconds())
-		clock.Sleep(ctx, firstPause/2+backoff.Next()) // the loop looks whether ctx ended
+		follower.stale.Update(now.Sub(lastSuccess).Seconds())
+		clock.Sleep(ctx, initialBackoff/2+backoff.Next()) // the loop condition checks ctx
 	}
 	done <- nil
 }
 
-// all reads the whole table and returns the version it was read at.
-func (follower *Follower) all(ctx context.Context) (uint64, error) {
+// readAll reads the full table, passes it to the source and returns the version
+// at which reading began.
+func (follower *Follower) readAll(ctx context.Context) (uint64, error) {
 	var rows []store.Row
 	r := store.Range{Table: follower.source.Table}
 	if follower.source.Only != "" {
@@ -123,8 +141,8 @@
 			return 0, err
 		}
 		if version == 0 {
-			// Pages are read at different moments: changes between them come
-			// again in the feed after the first.
+			// The pages are read at different times. The version of the first
+			// makes the watch deliver again whatever changed between them.
 			version = page.Version
 		}
 		rows = append(rows, page.Rows...)
@@ -137,8 +155,9 @@
 	return version, nil
 }
 
-// next waits for changes after a version and takes them in.
-func (follower *Follower) next(ctx context.Context, after uint64) (uint64, error) {
+// applyChanges waits for changes after a version, applies them and returns the
+// version to continue from.
+func (follower *Follower) applyChanges(ctx context.Context, after uint64) (uint64, error) {
 	page, err := follower.store.Watch(ctx, follower.source.Table, after, follower.source.Wait)
 	if err != nil {
 		return after, err
@@ -152,39 +171,42 @@
 	return max(after, page.Version), nil
 }
 
-// gather pauses after a change, twice as long after each that follows: news of
-// one change is not late, and of many that come together not read one by one.
+// gather delays the next watch after a change, twice as long for each further
+// change in quick succession. A single change is thus applied without much
+// delay, while many in a row are read together.
 func (follower *Follower) gather(ctx context.Context, changed bool) {
 	now := follower.clock.Now()
-	if !changed || follower.source.Gather == 0 || now.Sub(follower.gathered) >= follower.source.Gather {
-		follower.pause = 0
+	if !changed || follower.source.Gather == 0 || now.Sub(follower.gatheredAt) >= follower.source.Gather {
+		follower.gatherDelay = 0
 	}
 	if !changed || follower.source.Gather == 0 {
 		return
 	}
-	follower.pause = min(max(2*follower.pause, firstGather), follower.source.Gather)
-	clock.Sleep(ctx, follower.pause) // the loop of Run looks whether ctx ended
-	follower.gathered = follower.clock.Now()
+	follower.gatherDelay = min(max(2*follower.gatherDelay, initialGatherDelay), follower.source.Gather)
+	clock.Sleep(ctx, follower.gatherDelay) // the loop of Run checks ctx
+	follower.gatheredAt = follower.clock.Now()
 }
 
-// Configuration returns the source of the operators' configuration at key,
-// which keeps current at the newest.
+// Configuration returns the source of the operators' configuration, stored in
+// the row of the given key. It offers each decoded version to current, which
+// keeps the newest. A row that is removed or rejected leaves the
+// configuration in force unchanged.
 func Configuration(key store.Key, decode func([]byte) (*route.Table, error), current *route.Current, log *slog.Logger) Source {
 	apply := func(row store.Row) {
 		if row.Removed {
-			log.Warn("configuration removed: the last one stays in force", "row_version", row.Version)
+			log.Warn("configuration row removed; the last configuration stays in force", "row_version", row.Version)
 			return
 		}
 		table, err := decode(row.Value)
 		if err != nil {
-			log.Error("configuration refused: the last one stays in force", "row_version", row.Version, "err", err)
+			log.Error("configuration rejected; the last configuration stays in force", "row_version", row.Version, "err", err)
 			return
 		}
 		if current.Offer(table) {
 			log.Info("configuration in force", "version", table.Version(), "row_version", row.Version, "routes", table.Routes())
 		}
 	}
-	return Source{Table: key.Table, Only: key.Name, Wait: promptWait, Apply: apply, Lost: func() {}, Back: func() {}, Whole: func(rows []store.Row) {
+	return Source{Table: key.Table, Only: key.Name, Wait: promptWatchWait, Apply: apply, Lost: func() {}, Back: func() {}, Whole: func(rows []store.Row) {
 		for _, row := range rows {
 			if row.Key.Name == key.Name {
 				apply(row)
@@ -193,49 +215,50 @@
 	}}
 }
 
-// Endpoints returns the source of the list of endpoints in a table. It calls
-// restarted for each endpoint that started again under its ID.
-func Endpoints(table string, decode func(id string, data []byte) (*membership.Endpoint, error), list *membership.List, restarted func(*membership.Endpoint), clk clock.Clock, log *slog.Logger) Source {
-	// An entry that cannot be used stands for its endpoint all the same: what
-	// it replaced is not in force any more.
-	decoded := func(row store.Row) *membership.Endpoint {
+// Endpoints returns the source of the list of endpoints stored in a table. It
+// keeps list up to date and calls onRestart for each endpoint that has
+// restarted under the same ID.
+func Endpoints(table string, decode func(id string, data []byte) (*membership.Endpoint, error), list *membership.List, onRestart func(*membership.Endpoint), clk clock.Clock, log *slog.Logger) Source {
+	// A rejected entry still replaces the endpoint's previous
+	// one, which is no longer valid.
+	decodeEntry := func(row store.Row) *membership.Endpoint {
 		endpoint, err := decode(row.Key.Name, row.Value)
 		if err != nil {
-			log.Error("endpoint entry refused: it takes no work", "endpoint", row.Key.Name, "row_version", row.Version, "err", err)
+			log.Error("endpoint entry rejected; the endpoint receives no requests", "endpoint", row.Key.Name, "row_version", row.Version, "err", err)
 			return &membership.Endpoint{ID: row.Key.Name, State: membership.StateInvalid}
 		}
 		return endpoint
 	}
-	again := func(endpoint *membership.Endpoint) {
-		log.Info("endpoint started again", "endpoint", endpoint.ID, "born", endpoint.Born, "address", endpoint.Address)
-		restarted(endpoint)
+	notifyRestart := func(endpoint *membership.Endpoint) {
+		log.Info("endpoint restarted", "endpoint", endpoint.ID, "born", endpoint.Born, "address", endpoint.Address)
+		onRestart(endpoint)
 	}
 	return Source{
 		Table: table,
-		Wait:  promptWait,
+		Wait:  promptWatchWait,
 		Lost:  list.StoreLost,
 		Back:  func() { list.StoreBack(clk.Now()) },
 		Apply: func(row store.Row) {
 			if row.Removed {
-				log.Info("endpoint left the list", "endpoint", row.Key.Name, "row_version", row.Version)
+				log.Info("endpoint removed from the list", "endpoint", row.Key.Name, "row_version", row.Version)
 				list.Remove(row.Key.Name, clk.Now())
 				return
 			}
-			endpoint := decoded(row)
+			endpoint := decodeEntry(row)
 			log.Info("endpoint", "endpoint", endpoint.ID, "born", endpoint.Born, "service", endpoint.Service, "address", endpoint.Address, "state", endpoint.State, "row_version", row.Version)
 			if list.Put(endpoint) {
-				again(endpoint)
+				notifyRestart(endpoint)
 			}
 		},
 		Whole: func(rows []store.Row) {
 			all := make([]*membership.Endpoint, 0, len(rows))
 			for _, row := range rows {
-				all = append(all, decoded(row))
+				all = append(all, decodeEntry(row))
 			}
 			for _, endpoint := range list.Replace(all, clk.Now()) {
-				again(endpoint)
+				notifyRestart(endpoint)
 			}
-			log.Info("endpoints read", "endpoints", len(all))
+			log.Info("full list of endpoints read", "endpoints", len(all))
 		},
 	}
 }
--- a/discovery/follower_test.go
+++ b/discovery/follower_test.go
@@ -20,7 +20,7 @@
 	"github.com/wagtaildrum/wagtaildrum/store/storetest"
 )
 
-// view is a copy of a table, kept by a follower.
+// view is a copy of a table, filled by a follower.
 type view struct {
 	mu         sync.Mutex
 	rows       map[string]string
@@ -61,10 +61,10 @@
 	require.NoError(t, err)
 }
 
-// Symptom: an instance goes on with a list of seconds ago. Events: changes
-// are made while the store is away, and while its feed hears nothing and its
-// history is dropped. Cause: a feed that began again only after the gap.
-func TestFollowerMissesNothing(t *testing.T) {
+// Guards against an instance that keeps an outdated list. Rows change while the
+// store is unavailable, the watch delivers nothing, and the history is
+// compacted; a watch that resumed only after the gap would miss these changes.
+func TestFollowerMissesNoChange(t *testing.T) {
 	memory := storetest.New()
 	put(t, memory, "before", "1")
 	v := &view{}
@@ -98,13 +98,13 @@
 	assert.Equal(t, 1, v.back)
 }
 
-// Symptom: a restart of one of 84 instances makes 170 calls to the store, and
-// a start of all of them at once 7,000 within a fifth of a second. Events: each
-// enters itself; each follows the others' entries and calls again after every
-// one. Cause: calls grew with the square of the instances. Entries written
-// within 100 ms are read in eight calls at most, and none is missed; one alone
-// is not late.
-func TestChangesThatComeTogetherAreReadTogether(t *testing.T) {
+// Guards against a number of calls that grows with the square of the instances.
+// Each instance writes its entry, follows those of all others, and used to make
+// another call after each change: a restart of one of 84 instances made 170
+// calls to the store, and a start of all of them 7,000 within 200 ms. Entries
+// written within 100 ms must be read in at most eight calls without a loss, and
+// a single change without much delay.
+func TestChangesInQuickSuccessionAreBatched(t *testing.T) {
 	const entries = 84
 	memory := storetest.New()
 	var calls atomic.Int64
