--- a/upstream/client.go
+++ b/upstream/client.go
@@ -20,44 +20,50 @@
 
 // Bounds of a connection.
 const (
-	// connectTimeout: a live endpoint answers within a few ms; one that is
-	// dark or cut off never does.
+	// connectTimeout bounds dialling. A running endpoint accepts within a few
+	// milliseconds; one that lost power or is partitioned never does.
 	connectTimeout = 400 * time.Millisecond
-	// unackedTimeout closes a connection whose peer does not acknowledge
-	// what was sent, as after a cut or a loss of power.
+	// unackedTimeout closes a connection whose peer does not acknowledge the
+	// data sent, as after a network partition or a power loss.
 	unackedTimeout = 800 * time.Millisecond
-	// maxIdle is how long a connection is kept unused if the endpoint names
-	// no time of its own; idleMargin is kept to the time that it names.
-	maxIdle    = 4 * time.Second
-	idleMargin = 500 * time.Millisecond
-	// maxIdlePerEndpoint bounds the connections kept unused, so that all
-	// instances together stay far below what an endpoint accepts.
+	// maxIdleTime is how long an unused connection is kept, and the upper bound
+	// if the endpoint announces a keep-alive timeout. idleMargin is subtracted
+	// from the announced timeout, so that the endpoint doesn't close a
+	// connection just as it is reused.
+	maxIdleTime = 4 * time.Second
+	idleMargin  = 500 * time.Millisecond
+	// maxIdlePerEndpoint bounds the idle connections to an endpoint, so that
+	// all instances together stay far below the number that it accepts.
 	maxIdlePerEndpoint = 12
-	// inlineBody bytes or fewer are written before the answer is read.
-	inlineBody = 2048
-	// maxForeign is how many answers of earlier requests are passed over
-	// on one connection.
-	maxForeign = 2
+	// maxInlineBody is the size of the largest body, in bytes, that is written
+	// in full before the response is read.
+	maxInlineBody = 2048
+	// maxMismatched is the number of responses to earlier requests that are
+	// skipped on one connection.
+	maxMismatched = 2
 )
 
-// Request is one request to an endpoint.
+// Request is a request to an endpoint.
 type Request struct {
+	// Address is the endpoint's host and port.
 	Address string
 	Method  string
-	// Target is the path and query as the caller sent them.
+	// Target is the path and query as sent by the caller.
 	Target string
+	// Host is the value of the Host header.
 	Host   string
 	Header http.Header
 	Body   []byte
-	// HasBody tells an empty body from none.
+	// HasBody tells an empty body from no body: with an empty one a
+	// Content-Length of 0 is sent.
 	HasBody bool
-	// IDHeader names the header that an answer echoes; answers that carry
-	// another value belong to another request.
+	// IDHeader is the name of the request header that the response echoes. A
+	// response with another value in it belongs to another request.
 	IDHeader string
 }
 
-// Response is an endpoint's answer. Its body ends with io.EOF only if it is
-// whole; the caller must call Close.
+// Response is the response of an endpoint. Body returns io.EOF only if the body
+// is complete. The caller must call Close.
 type Response struct {
 	Status int
 	Header http.Header
@@ -66,21 +72,31 @@
 	client *Client
 	conn   *conn
 	body   io.ReadCloser
-	whole  atomic.Bool
-	reuse  bool
-	stop   func() bool
-	sent   <-chan error
+	// complete is set once the end of the body has been read.
+	complete atomic.Bool
+	// reusable is unset if the endpoint closes the connection after the
+	// response.
+	reusable bool
+	// stop ends the watch for the end of the request's context. It returns
+	// false if the context ended before.
+	stop func() bool
+	// sent receives the result of sending a long request; it is nil if the
+	// request was written before the response was read.
+	sent <-chan error
 }
 
-// Client keeps connections to endpoints. Use NewClient.
+// Client sends requests to endpoints and keeps idle connections to them. It is
+// safe for concurrent use. Use NewClient.
 type Client struct {
 	dialer *net.Dialer
 	opened atomic.Int64
 
-	mu   sync.Mutex
+	mu sync.Mutex
+	// idle holds the idle connections by address, the last used one last.
 	idle map[string][]*conn
 }
 
+// conn is a connection to an endpoint. expires is set while it is idle.
 type conn struct {
 	net.Conn
 	address string
@@ -88,26 +104,27 @@
 	expires time.Time
 }
 
-// NewClient returns a client without connections.
+// NewClient returns a Client without connections.
 func NewClient() *Client {
 	return &Client{idle: map[string][]*conn{}, dialer: tcp.NewDialer(connectTimeout, unackedTimeout)}
 }
 
-// Opened returns how many connections were opened.
+// Opened returns the number of connections opened so far.
 func (client *Client) Opened() int64 { return client.opened.Load() }
 
-// Do sends request and returns the head of its answer. The context bounds
-// the whole exchange: when it ends, the connection is closed. Errors are
-// *Error.
+// Do sends request and returns the response once its head has been read. When
+// ctx ends before Close is called, the connection is closed and reading the
+// body fails. Every error is an *Error, whose stage tells whether the endpoint
+// may have received the request. Do never sends a request twice.
 func (client *Client) Do(ctx context.Context, request *Request) (*Response, error) {
-	c, err := client.connection(ctx, request)
+	c, err := client.getConn(ctx, request)
 	if err != nil {
 		return nil, &Error{stage: StageConnect, address: request.Address, err: err}
 	}
-	stop := context.AfterFunc(ctx, func() { _ = c.Close() }) // the exchange fails with the closed connection
+	stop := context.AfterFunc(ctx, func() { _ = c.Close() }) // makes the pending read or write fail
 	fail := func(stage Stage, err error) (*Response, error) {
 		stop()
-		_ = c.Close() // given up
+		_ = c.Close() // not reusable after a failure
 		if ctx.Err() != nil {
 			err = ctx.Err()
 		}
@@ -115,24 +132,25 @@
 	}
 	head := encodeHead(request)
 	var sent <-chan error
-	if len(request.Body) <= inlineBody {
+	if len(request.Body) <= maxInlineBody {
 		if _, err := c.Write(append(head, request.Body...)); err != nil {
 			return fail(StageSend, err)
 		}
 	} else {
 		sent = c.send(head, request.Body)
 	}
-	answer, err := c.readHead(request)
+	received, err := c.readHead(request)
 	if err != nil {
 		return fail(stageOf(err), err)
 	}
-	response := &Response{Status: answer.status, Header: answer.header, client: client, conn: c, body: answer.body, stop: stop, sent: sent, reuse: !answer.last}
+	response := &Response{Status: received.status, Header: received.header, client: client, conn: c, body: received.body, stop: stop, sent: sent, reusable: !received.closing}
 	response.Body = &bodyReader{response: response}
 	return response, nil
 }
 
-// stageOf returns how far a request got whose answer's head was not read:
-// the connection failed, or what came on it is no answer.
+// stageOf returns the stage of a failure to read the head of a response:
+// StageSend if the connection failed, StageHead if the data received is not a
+// valid response to the request.
 func stageOf(err error) Stage {
 	var netErr net.Error
 	if errors.As(err, &netErr) || errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF) {
@@ -141,8 +159,10 @@
 	return StageHead
 }
 
-// send writes a long request while the answer is read: an endpoint may
-// answer before it has read the body, and would not read on.
+// send writes a long request concurrently with reading the response, and sends
+// the result on the returned channel. An endpoint may respond before it has
+// read the body and then stop reading, which would block a writer that has to
+// finish first.
 func (c *conn) send(head, body []byte) <-chan error {
 	sent := make(chan error, 1)
 	go func() {
@@ -153,45 +173,47 @@
 	return sent
 }
 
-// head is an answer whose body is yet to be read.
-type head struct {
+// responseHead is the head of a response, with the body still to be read.
+type responseHead struct {
 	status int
 	header http.Header
 	body   io.ReadCloser
-	// last: the connection ends with this answer.
-	last bool
+	// closing is set if the endpoint closes the connection after the response.
+	closing bool
 }
 
-// readHead reads the head of the answer to request, passing over interim
-// answers and answers of earlier requests.
-func (c *conn) readHead(request *Request) (*head, error) {
-	foreign := 0
+// readHead reads the head of the response to request. It skips interim (1xx)
+// responses and up to maxMismatched responses to earlier requests. It returns a
+// *ResponseMismatchError for one that it cannot skip.
+func (c *conn) readHead(request *Request) (*responseHead, error) {
+	mismatched := 0
 	for {
-		answer, err := http.ReadResponse(c.reader, &http.Request{Method: request.Method})
+		response, err := http.ReadResponse(c.reader, &http.Request{Method: request.Method})
 		if err != nil {
 			return nil, err
 		}
-		if answer.StatusCode < 200 {
+		if response.StatusCode < 200 {
 			continue
 		}
 		want := request.Header.Get(request.IDHeader)
-		got := answer.Header.Get(request.IDHeader)
+		got := response.Header.Get(request.IDHeader)
 		if got == "" || got == want {
-			return &head{status: answer.StatusCode, header: answer.Header, body: answer.Body, last: answer.Close}, nil
+			return &responseHead{status: response.StatusCode, header: response.Header, body: response.Body, closing: response.Close}, nil
 		}
-		foreign++
-		if foreign > maxForeign || answer.Close || answer.ContentLength < 0 {
-			return nil, &ForeignAnswerError{want: want, got: got}
+		mismatched++
+		if mismatched > maxMismatched || response.Close || response.ContentLength < 0 {
+			return nil, &ResponseMismatchError{want: want, got: got}
 		}
-		if _, err := io.Copy(io.Discard, answer.Body); err != nil {
+		if _, err := io.Copy(io.Discard, response.Body); err != nil {
 			return nil, err
 		}
-		if err := answer.Body.Close(); err != nil {
+		if err := response.Body.Close(); err != nil {
 			return nil, err
 		}
 	}
 }
 
+// encodeHead returns the encoded request line and header of request.
 func encodeHead(request *Request) []byte {
 	var buf bytes.Buffer
 	buf.WriteString(request.Method)
@@ -200,7 +222,7 @@
 	buf.WriteString(" HTTP/1.1\r\nHost: ")
 	buf.WriteString(request.Host)
 	buf.WriteString("\r\n")
-	_ = request.Header.Write(&buf) // memory only
+	_ = request.Header.Write(&buf) // writing to a bytes.Buffer cannot fail
 	if request.HasBody || len(request.Body) > 0 {
 		buf.WriteString("Content-Length: ")
 		buf.WriteString(strconv.Itoa(len(request.Body)))
@@ -210,8 +232,10 @@
 	return buf.Bytes()
 }
 
-func (client *Client) connection(ctx context.Context, request *Request) (*conn, error) {
-	if c := client.kept(request.Address); c != nil {
+// getConn returns an idle connection to the endpoint of request, or opens one.
+// It returns the error of the dialler.
+func (client *Client) getConn(ctx context.Context, request *Request) (*conn, error) {
+	if c := client.takeIdle(request.Address); c != nil {
 		return c, nil
 	}
 	raw, err := client.dialer.DialContext(ctx, "tcp", request.Address)
@@ -222,8 +246,9 @@
 	return &conn{Conn: raw, address: request.Address, reader: bufio.NewReader(raw)}, nil
 }
 
-// kept returns an unused connection that still stands, the newest first.
-func (client *Client) kept(address string) *conn {
+// takeIdle removes and returns the most recently used idle connection to
+// address that is still usable, and nil if there is none.
+func (client *Client) takeIdle(address string) *conn {
 	now := time.Now()
 	for {
 		client.mu.Lock()
@@ -235,73 +260,75 @@
 		c := list[len(list)-1]
 		client.idle[address] = list[:len(list)-1]
 		client.mu.Unlock()
-		if now.Before(c.expires) && c.quiet() {
+		if now.Before(c.expires) && c.clean() {
 			return c
 		}
-		_ = c.Close() // the endpoint closed it, or sent what nobody asked for
+		_ = c.Close() // expired, closed by the endpoint, or with data that no request accounts for
 	}
 }
 
-// quiet reports whether the connection is open and nothing came on it since
-// the last answer.
-func (c *conn) quiet() bool {
-	tcp, ok := c.Conn.(*net.TCPConn)
+// clean reports whether the connection is open and has received no data since
+// the last response.
+func (c *conn) clean() bool {
+	tcpConn, ok := c.Conn.(*net.TCPConn)
 	if !ok {
 		return false
 	}
-	raw, err := tcp.SyscallConn()
+	raw, err := tcpConn.SyscallConn()
 	if err != nil {
 		return false
 	}
-	quiet := false
+	clean := false
 	err = raw.Read(func(fd uintptr) bool {
 		var one [1]byte
 		_, _, rerr := unix.Recvfrom(int(fd), one[:], unix.MSG_PEEK|unix.MSG_DONTWAIT)
-		quiet = rerr == unix.EAGAIN
+		clean = rerr == unix.EAGAIN
 		return true
 	})
-	return err == nil && quiet
+	return err == nil && clean
 }
 
-func (client *Client) keep(c *conn, idle time.Duration) {
+// putIdle keeps c for reuse for the given time, or closes it if
+// maxIdlePerEndpoint connections to its endpoint are idle already.
+func (client *Client) putIdle(c *conn, idle time.Duration) {
 	c.expires = time.Now().Add(idle)
 	client.mu.Lock()
 	defer client.mu.Unlock()
 	if len(client.idle[c.address]) >= maxIdlePerEndpoint {
-		_ = c.Close() // more than are needed
+		_ = c.Close() // maxIdlePerEndpoint reached
 		return
 	}
 	client.idle[c.address] = append(client.idle[c.address], c)
 }
 
-// Drop closes the unused connections to an address: whoever answered on them
-// is gone. Behind a cut they are silent and would each cost a request
-// unackedTimeout.
+// Drop closes the idle connections to address, for an endpoint whose process
+// has terminated. If it is partitioned as well, the connections stay silent,
+// and each would cost a request unackedTimeout.
 func (client *Client) Drop(address string) {
 	client.mu.Lock()
 	defer client.mu.Unlock()
 	for _, c := range client.idle[address] {
-		_ = c.Close() // its peer ended
+		_ = c.Close() // the error has no consequence: the peer has terminated
 	}
 	delete(client.idle, address)
 }
 
-// Trim closes the connections that were unused for too long.
+// Trim closes the idle connections that have expired.
 func (client *Client) Trim() {
 	now := time.Now()
 	client.mu.Lock()
 	defer client.mu.Unlock()
 	for address, list := range client.idle {
-		kept := list[:0]
+		unexpired := list[:0]
 		for _, c := range list {
 			if now.Before(c.expires) {
-				kept = append(kept, c)
+				unexpired = append(unexpired, c)
 				continue
 			}
-			_ = c.Close() // unused
+			_ = c.Close() // the error has no consequence: the connection is idle
 		}
-		client.idle[address] = kept
-		if len(kept) == 0 {
+		client.idle[address] = unexpired
+		if len(unexpired) == 0 {
 			delete(client.idle, address)
 		}
 	}
--- a/upstream/client_test.go
+++ b/upstream/client_test.go
@@ -19,7 +19,8 @@
 	"github.com/wagtaildrum/wagtaildrum/upstream"
 )
 
-// serve answers each connection with handle and returns the address.
+// serve accepts connections on a local port, runs handle for each with its
+// number, counted from 1, and returns the address.
 func serve(t *testing.T, handle func(n int, conn net.Conn, reader *bufio.Reader)) string {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -40,14 +41,17 @@
 	return listener.Addr().String()
 }
 
+// request returns a POST request with the given ID in its X-Id header.
 func request(address, id string, body string) *upstream.Request {
 	return &upstream.Request{Address: address, Method: "POST", Target: "/a?b=c%20d", Host: "desk.example", Header: http.Header{"X-Id": {id}}, Body: []byte(body), HasBody: true, IDHeader: "X-Id"}
 }
 
-func answer(conn net.Conn, id, extra, body string) {
+// respond writes a response with the given ID, extra header lines and body.
+func respond(conn net.Conn, id, extra, body string) {
 	_, _ = fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\nX-Id: %s\r\n%sContent-Length: %d\r\n\r\n%s", id, extra, len(body), body)
 }
 
+// do sends r and returns the body of the response, bounded by 3 s.
 func do(t *testing.T, client *upstream.Client, r *upstream.Request) (string, *upstream.Response, error) {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), 3*time.Second)
@@ -61,6 +65,7 @@
 	return string(body), response, err
 }
 
+// stage returns the stage of err, which must be an *upstream.Error.
 func stage(t *testing.T, err error) upstream.Stage {
 	t.Helper()
 	var ue *upstream.Error
@@ -68,7 +73,7 @@
 	return ue.Stage()
 }
 
-// read reads one request and returns its ID and body.
+// read reads one request and returns its ID, target and body.
 func read(reader *bufio.Reader) (id, target, body string, err error) {
 	r, err := http.ReadRequest(reader)
 	if err != nil {
@@ -78,37 +83,38 @@
 	return r.Header.Get("X-Id"), r.RequestURI, string(data), err
 }
 
-func TestConnectionIsUsedAgain(t *testing.T) {
+func TestConnectionReused(t *testing.T) {
 	address := serve(t, func(n int, conn net.Conn, reader *bufio.Reader) {
 		for {
 			id, target, body, err := read(reader)
 			if err != nil {
 				return
 			}
-			answer(conn, id, "", fmt.Sprintf("%d %s %s", n, target, body))
+			respond(conn, id, "", fmt.Sprintf("%d %s %s", n, target, body))
 		}
 	})
 	client := upstream.NewClient()
 	for range 3 {
 		body, _, err := do(t, client, request(address, "r", "x"))
 		require.NoError(t, err)
-		assert.Equal(t, "1 /a?b=c%20d x", body, "the first connection")
+		assert.Equal(t, "1 /a?b=c%20d x", body, "the first connection is reused")
 		assert.EqualValues(t, 1, client.Opened())
 	}
 }
 
-// Symptom: a caller gets the answer to another's request. Events: an
-// endpoint sends a second answer late; it arrives just as the next request
-// goes out on the connection. Cause: answers were matched by order alone.
-func TestLateExtraAnswerIsPassedOver(t *testing.T) {
+// Guards against a caller receiving the response to another caller's request.
+// An endpoint sends a second response late, which arrives just as the next
+// request is sent on the connection; the order alone does not tell which
+// request a response belongs to.
+func TestResponseToEarlierRequestSkipped(t *testing.T) {
 	address := serve(t, func(_ int, conn net.Conn, reader *bufio.Reader) {
 		for {
 			id, _, _, err := read(reader)
 			if err != nil {
 				return
 			}
-			answer(conn, "earlier", "", "not yours")
-			answer(conn, id, "", "yours")
+			respond(conn, "earlier", "", "not yours")
+			respond(conn, id, "", "yours")
 		}
 	})
 	body, _, err := do(t, upstream.NewClient(), request(address, "r", "x"))
@@ -116,17 +122,17 @@
 	assert.Equal(t, "yours", body)
 }
 
-// Symptom: as above, but the extra answer comes while nobody waits. Cause: a
-// connection with bytes that nobody asked for was used again.
-func TestConnectionWithExtraBytesIsNotUsedAgain(t *testing.T) {
+// Guards against the same failure when the extra response arrives while the
+// connection is idle: a connection with unread data must not be reused.
+func TestConnectionWithUnreadBytesNotReused(t *testing.T) {
 	address := serve(t, func(n int, conn net.Conn, reader *bufio.Reader) {
 		id, _, _, err := read(reader)
 		if err != nil {
 			return
 		}
-		answer(conn, id, "", fmt.Sprint(n))
+		respond(conn, id, "", fmt.Sprint(n))
 		time.Sleep(20 * time.Millisecond)
-		answer(conn, id, "", "extra")
+		respond(conn, id, "", "extra")
 		time.Sleep(time.Second)
 	})
 	client := upstream.NewClient()
@@ -138,11 +144,11 @@
 	}
 }
 
-// Symptom: an endpoint runs a request that nobody sent. Events: it answers
-// before it has read a long body, and reads on later; the connection was
-// used for the next request, whose bytes it takes for the rest. Cause: a
-// connection was kept though the request on it was not sent whole.
-func TestEarlyAnswerEndsConnection(t *testing.T) {
+// Guards against an endpoint executing a request that was never sent. It
+// responds before it has read a long body and reads the remainder later. If the
+// connection is reused, the bytes of the next request are taken for that
+// remainder.
+func TestEarlyResponseClosesConnection(t *testing.T) {
 	var connections atomic.Int32
 	address := serve(t, func(_ int, conn net.Conn, reader *bufio.Reader) {
 		connections.Add(1)
@@ -162,10 +168,10 @@
 	assert.EqualValues(t, 2, connections.Load())
 }
 
-// Symptom: a non-idempotent call runs twice. Events: an endpoint takes a
-// request on a kept connection, and closes it without an answer. Cause: the
-// HTTP library sent it again by itself.
-func TestNothingIsSentTwice(t *testing.T) {
+// Guards against a non-idempotent request executed twice. An endpoint receives
+// a request on a reused connection and closes it without a response; net/http's
+// Transport would then retry the request.
+func TestRequestNotRetried(t *testing.T) {
 	var requests atomic.Int32
 	address := serve(t, func(_ int, conn net.Conn, reader *bufio.Reader) {
 		for {
@@ -176,7 +182,7 @@
 			if requests.Add(1) > 1 {
 				return
 			}
-			answer(conn, id, "", "ok")
+			respond(conn, id, "", "ok")
 		}
 	})
 	client := upstream.NewClient()
@@ -189,7 +195,7 @@
 	assert.EqualValues(t, 2, requests.Load())
 }
 
-func TestStages(t *testing.T) {
+func TestErrorStages(t *testing.T) {
 	closed := serve(t, func(int, net.Conn, *bufio.Reader) {})
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -217,9 +223,9 @@
 	}
 }
 
-// An answer without a length ends with its connection: a proper end is
-// whole, a reset is not.
-func TestAnswerWithoutLength(t *testing.T) {
+// A response without a Content-Length ends with its connection: it is complete
+// if the connection is closed regularly and incomplete after a reset.
+func TestResponseWithoutContentLength(t *testing.T) {
 	var reset atomic.Bool
 	address := serve(t, func(_ int, conn net.Conn, reader *bufio.Reader) {
 		id, _, _, _ := read(reader)
@@ -237,13 +243,14 @@
 	assert.Equal(t, upstream.StageBody, stage(t, err))
 }
 
-// Symptom: engines work on for callers that left. Events: a caller leaves
-// while its answer is made. Cause: the connection to the engine stayed open.
-func TestEndOfContextClosesConnection(t *testing.T) {
+// Guards against engines that continue to work for callers that have left: when
+// a caller leaves during its response, the connection to the engine must be
+// closed.
+func TestContextEndClosesConnection(t *testing.T) {
 	closed := make(chan struct{})
 	address := serve(t, func(_ int, _ net.Conn, reader *bufio.Reader) {
 		_, _, _, _ = read(reader)
-		_, _ = reader.ReadByte() // until the client closes
+		_, _ = reader.ReadByte() // returns once the client has closed the connection
 		close(closed)
 	})
 	ctx, cancel := context.WithCancel(context.Background())
@@ -253,22 +260,22 @@
 	select {
 	case <-closed:
 	case <-time.After(400 * time.Millisecond):
-		t.Fatal("the endpoint was not told")
+		t.Fatal("the connection to the endpoint was not closed")
 	}
 }
 
-// Symptom: requests to an endpoint that started again wait for answers on
-// connections to the start before. Events: it crashes behind a cut, so that
-// nobody is told; it starts again at its address. Cause: the connections that
-// were kept unused were taken for its own.
-func TestDroppedConnectionsAreNotUsedAgain(t *testing.T) {
+// Guards against requests to a restarted endpoint that wait for a response on a
+// connection to its previous incarnation. The endpoint crashes while
+// partitioned, so no instance receives a reset, and restarts at the same
+// address; the idle connections must then be dropped.
+func TestDroppedConnectionsNotReused(t *testing.T) {
 	address := serve(t, func(n int, conn net.Conn, reader *bufio.Reader) {
 		id, _, _, err := read(reader)
 		if err != nil {
 			return
 		}
-		answer(conn, id, "", fmt.Sprint(n))
-		_, _, _, _ = read(reader) // silent from now on
+		respond(conn, id, "", fmt.Sprint(n))
+		_, _, _, _ = read(reader) // sends no response on this connection any more
 	})
 	client := upstream.NewClient()
 	_, _, err := do(t, client, request(address, "r", "x"))
@@ -276,5 +283,5 @@
 	client.Drop(address)
 	body, _, err := do(t, client, request(address, "r", "x"))
 	require.NoError(t, err)
-	assert.Equal(t, "2", body, "a new connection")
+	assert.Equal(t, "2", body, "a new connection is used")
 }
--- a/upstream/doc.go
+++ b/upstream/doc.go
@@ -1,8 +1,8 @@
-// Package upstream sends requests to endpoints over HTTP/1.1. It never sends
-// a request twice by itself, and tells for each failure whether the request
-// can have reached the endpoint.
+// Package upstream sends requests to endpoints over HTTP/1.1. It never retries
+// a request, and its errors tell whether the request can have reached the
+// endpoint.
 //
-// net/http's Transport is not used since it repeats requests when a reused
-// connection fails, does not tell whether bytes left, and takes a late extra
-// answer of an earlier request for the answer of the next.
+// net/http's Transport is not used because it retries requests when a reused
+// connection fails, does not report whether any bytes were sent, and takes a
+// late extra response to an earlier request for the response to the next one.
 package upstream
--- a/upstream/errors.go
+++ b/upstream/errors.go
@@ -2,31 +2,32 @@
 
 import "fmt"
 
-// Stage says how far a request got before it failed.
+// Stage is the stage of the exchange in which a request failed.
 type Stage int
 
 //go:generate stringer -type=Stage -trimprefix=Stage
 
-// Stages.
+// Stages of an exchange.
 const (
-	// StageConnect: there was no connection; nothing was sent.
+	// StageConnect means that no connection was made and nothing was sent.
 	StageConnect Stage = iota
-	// StageSend: some or all of the request was sent; it may run.
+	// StageSend means that some or all of the request may have been sent, so
+	// the endpoint may execute it.
 	StageSend
-	// StageHead: what came is not the answer to this request.
+	// StageHead means that the data received is not a response to this request.
 	StageHead
-	// StageBody: the answer broke off.
+	// StageBody means that the response ended early.
 	StageBody
 )
 
-// Error is a failed request to an endpoint.
+// Error is returned when a request to an endpoint fails.
 type Error struct {
 	stage   Stage
 	address string
 	err     error
 }
 
-// Stage returns how far the request got.
+// Stage returns the stage in which the request failed.
 func (e *Error) Stage() Stage { return e.stage }
 
 // Unwrap returns the cause.
@@ -35,12 +36,13 @@
 // Error returns "endpoint ADDRESS: STAGE: CAUSE".
 func (e *Error) Error() string { return fmt.Sprintf("endpoint %s: %s: %v", e.address, e.stage, e.err) }
 
-// ForeignAnswerError is an answer that carries another request's ID.
-type ForeignAnswerError struct {
+// ResponseMismatchError is the cause of an Error if the response carries the ID
+// of another request.
+type ResponseMismatchError struct {
 	want, got string
 }
 
-// Error names both IDs.
-func (e *ForeignAnswerError) Error() string {
-	return fmt.Sprintf("answer of request %q in place of %q", e.got, e.want)
+// Error returns both IDs.
+func (e *ResponseMismatchError) Error() string {
+	return fmt.Sprintf("response carries request ID %q, expected %q", e.got, e.want)
 }
--- a/upstream/response.go
+++ b/upstream/response.go
@@ -8,45 +8,47 @@
 	"time"
 )
 
-// bodyReader passes an answer's body on and notes whether it was whole.
+// bodyReader reads the body of a response and records whether it was complete.
 type bodyReader struct {
 	response *Response
 }
 
-// Read returns io.EOF at the end of a whole body, an *Error otherwise.
+// Read returns io.EOF at the end of a complete body, and an *Error if the body
+// ends early.
 func (reader *bodyReader) Read(p []byte) (int, error) {
 	response := reader.response
 	n, err := response.body.Read(p)
 	switch err {
 	case nil:
 	case io.EOF:
-		response.whole.Store(true)
+		response.complete.Store(true)
 	default:
 		err = &Error{stage: StageBody, address: response.conn.address, err: err}
 	}
 	return n, err
 }
 
-// Close ends the exchange. The connection is kept for another request only
-// if this one was sent and answered whole, with nothing behind the answer.
+// Close ends the exchange. It keeps the connection for reuse only if the
+// request was sent in full, the response was read in full and no data follows
+// it; otherwise it closes the connection.
 func (response *Response) Close() {
 	stopped := response.stop()
-	if !stopped || !response.whole.Load() || !response.reuse || !response.wasSent() || response.conn.reader.Buffered() > 0 {
-		_ = response.conn.Close() // of no further use
+	if !stopped || !response.complete.Load() || !response.reusable || !response.requestSent() || response.conn.reader.Buffered() > 0 {
+		_ = response.conn.Close() // not reusable
 		return
 	}
-	idle := keepAlive(response.Header)
+	idle := keepAliveTimeout(response.Header)
 	if idle <= 0 {
-		_ = response.conn.Close() // about to be closed by the endpoint
+		_ = response.conn.Close() // the endpoint is about to close it
 		return
 	}
-	response.client.keep(response.conn, idle)
+	response.client.putIdle(response.conn, idle)
 }
 
-// wasSent reports whether the whole request left before the answer ended.
-// An endpoint that answers early reads the rest of the body later, and would
-// take the next request for it.
-func (response *Response) wasSent() bool {
+// requestSent reports whether the request was sent in full. An endpoint that
+// responds early reads the remainder of the body later and would take the next
+// request on the connection for it.
+func (response *Response) requestSent() bool {
 	if response.sent == nil {
 		return true
 	}
@@ -58,8 +60,10 @@
 	}
 }
 
-// keepAlive returns how long the connection may be kept unused.
-func keepAlive(header http.Header) time.Duration {
+// keepAliveTimeout returns how long an idle connection may be kept, 0 or less
+// for not at all: the timeout in the response's Keep-Alive header less
+// idleMargin, at most maxIdleTime, and maxIdleTime if the header names none.
+func keepAliveTimeout(header http.Header) time.Duration {
 	for field := range strings.SplitSeq(header.Get("Keep-Alive"), ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(field), "=")
 		if !strings.EqualFold(name, "timeout") {
@@ -69,7 +73,7 @@
 		if err != nil {
 			return 0
 		}
-		return min(time.Duration(seconds)*time.Second-idleMargin, maxIdle)
+		return min(time.Duration(seconds)*time.Second-idleMargin, maxIdleTime)
 	}
-	return maxIdle
+	return maxIdleTime
 }
