--- a/eventstream/doc.go
+++ b/eventstream/doc.go
@@ -1,3 +1,3 @@
-// Package eventstream reads and splits series of server-sent events
-// (text/event-stream) without changing a byte of them.
+// Package eventstream splits a stream of server-sent events (text/event-stream)
+// into events and preserves their bytes.
 package eventstream
--- a/eventstream/reader.go
+++ b/eventstream/reader.go
@@ -8,45 +8,48 @@
 	"io"
 )
 
-// Event is one event as it was sent.
+// Event is one event of a stream.
 type Event struct {
-	// Raw is the event with its closing empty line.
+	// Raw holds the bytes of the event as received, including the empty line
+	// that ends it.
 	Raw []byte
-	// ID is the value of its id field, empty if it has none.
+	// ID is the value of the last id field, and "" if there is none.
 	ID string
-	// Data is its data, lines joined by a line feed; HasData tells an empty
-	// one from none.
+	// Data joins the values of the data fields by line feeds. HasData tells an
+	// event with empty data from one without a data field.
 	Data    []byte
 	HasData bool
 }
 
-// ErrTruncated is a stream that ended in the middle of an event.
-var ErrTruncated = errors.New("event stream ended in the middle of an event")
+// ErrTruncated is returned when a stream ends within an event.
+var ErrTruncated = errors.New("event stream ended within an event")
 
-// TooLongError is an event longer than the reader takes.
+// TooLongError is returned when an event exceeds the maximum length.
 type TooLongError struct {
 	limit int
 }
 
-// Error tells the limit.
+// Error returns the maximum length.
 func (e *TooLongError) Error() string {
-	return fmt.Sprintf("event longer than %d bytes", e.limit)
+	return fmt.Sprintf("event exceeds the maximum length of %d bytes", e.limit)
 }
 
-// maxEvent bounds one event, in bytes: a thousand times what engines send.
+// maxEvent is the maximum length of an event in bytes: a thousand times what
+// engines send.
 const maxEvent = 1 << 20
 
-// Reader splits a stream into events.
+// Reader splits a stream into events. Use NewReader.
 type Reader struct {
 	buffered *bufio.Reader
 }
 
-// NewReader returns a reader of the stream r.
+// NewReader returns a Reader of the stream r.
 func NewReader(r io.Reader) *Reader { return &Reader{buffered: bufio.NewReader(r)} }
 
-// Next returns the next event. At the end of the stream it returns io.EOF,
-// or ErrTruncated if an event was not ended; otherwise the error of the
-// stream, or a *TooLongError. Nothing of an unfinished event is returned.
+// Next returns the next event. At the end of the stream it returns io.EOF, or
+// ErrTruncated if the last event is incomplete. It returns a *TooLongError for
+// an event of more than maxEvent bytes, and otherwise the error of the stream.
+// No part of an incomplete event is returned.
 func (reader *Reader) Next() (Event, error) {
 	var raw []byte
 	for {
@@ -63,18 +66,20 @@
 		case err != nil:
 			return Event{}, err
 		}
-		if ended(raw) {
+		if endsEvent(raw) {
 			return parse(raw), nil
 		}
 	}
 }
 
-// ended reports whether raw, which ends in a line feed, ends in an empty
-// line after at least one other.
-func ended(raw []byte) bool {
+// endsEvent reports whether raw, which ends in a line feed, ends in an empty
+// line that follows at least one other line.
+func endsEvent(raw []byte) bool {
 	return bytes.HasSuffix(raw, []byte("\n\n")) || bytes.HasSuffix(raw, []byte("\n\r\n"))
 }
 
+// parse returns the event of the given bytes. Fields other than id and data are
+// kept in Raw only.
 func parse(raw []byte) Event {
 	event := Event{Raw: raw}
 	for line := range bytes.Lines(raw) {
--- a/eventstream/reader_test.go
+++ b/eventstream/reader_test.go
@@ -14,6 +14,7 @@
 	"github.com/wagtaildrum/wagtaildrum/eventstream"
 )
 
+// readAll returns all events of r and the error that ended it.
 func readAll(r io.Reader) ([]eventstream.Event, error) {
 	reader := eventstream.NewReader(r)
 	var events []eventstream.Event
@@ -26,7 +27,7 @@
 	}
 }
 
-func TestEventsKeepTheirBytes(t *testing.T) {
+func TestEventsPreserveBytes(t *testing.T) {
 	text := "id: 1\ndata: one\n\nx-note: 4\nid:2\r\ndata:two\r\ndata: more\r\n\r\n: comment\n\ndata\n\n"
 	events, err := readAll(iotest.OneByteReader(strings.NewReader(text)))
 	require.ErrorIs(t, err, io.EOF)
@@ -45,10 +46,10 @@
 	assert.Empty(t, events[3].Data)
 }
 
-// Symptom: a stream resumed at another engine has the start of an event
-// twice. Events: an engine stops in the middle of an event; the half was
-// passed on. Cause: bytes, not events, were passed on.
-func TestUnfinishedEventIsNotReturned(t *testing.T) {
+// Guards against a stream that repeats the start of an event when it resumes at
+// another engine: the first engine stopped within an event, and the bytes
+// received up to there had been forwarded.
+func TestIncompleteEventNotReturned(t *testing.T) {
 	events, err := readAll(strings.NewReader("id: 1\ndata: one\n\nid: 2\ndata: tw"))
 	require.ErrorIs(t, err, eventstream.ErrTruncated)
 	assert.Len(t, events, 1)
@@ -58,7 +59,7 @@
 	assert.Len(t, events, 1)
 }
 
-func TestEndlessEventIsGivenUp(t *testing.T) {
+func TestOverlongEventRejected(t *testing.T) {
 	_, err := readAll(strings.NewReader(strings.Repeat("x", 3<<20)))
 	var tooLong *eventstream.TooLongError
 	assert.ErrorAs(t, err, &tooLong)
@@ -74,6 +75,6 @@
 		for _, event := range events {
 			raw = append(raw, event.Raw...)
 		}
-		require.True(t, bytes.HasPrefix(data, raw), "events are the stream's own bytes, in order")
+		require.True(t, bytes.HasPrefix(data, raw), "the events are the bytes of the stream, unchanged and in order")
 	})
 }
