--- a/entrypeer/credit.go
+++ b/entrypeer/credit.go
@@ -30,7 +30,8 @@
 
 // creditRequest is the encoding of a quota.Question. One is sent for most
 // requests of callers, so it is kept short: the fields are encoded by position,
-// without their names.
+// without their names. The fields are those of quota.Question, quota.Limit and
+// quota.Ask.
 type creditRequest struct {
 	_            struct{} `cbor:",toarray"`
 	Organisation string
@@ -143,9 +144,9 @@
 	if !ok {
 		return quota.Transfer{}, &UnavailableError{instance: name}
 	}
-	var granted quota.Transfer
-	err := client.exchange(ctx, instance, pathHandOver, &transferRequest{Name: client.directory.self.Name, Instance: client.directory.self, Transfer: transfer}, &granted)
-	return granted, readQuotaError(err)
+	var received quota.Transfer
+	err := client.exchange(ctx, instance, pathHandOver, &transferRequest{Name: client.directory.self.Name, Instance: client.directory.self, Transfer: transfer}, &received)
+	return received, readQuotaError(err)
 }
 
 // writeQuotaError responds with the status that stands for err: 410 for
@@ -186,12 +187,12 @@
 		message.Instance.Name = store.Name(message.Name)
 		server.Directory.Observe(message.Instance)
 	}
-	granted, err := server.Quotas.Transfer(message.Transfer)
+	returned, err := server.Quotas.Transfer(message.Transfer)
 	if err != nil {
 		writeQuotaError(w, err)
 		return
 	}
-	server.reply(w, &granted)
+	server.reply(w, &returned)
 }
 
 // Self implements quota.Peers.
--- a/entrypeer/directory.go
+++ b/entrypeer/directory.go
@@ -70,7 +70,8 @@
 	self  Instance
 	clock clock.Clock
 
-	mu        sync.Mutex
+	mu sync.Mutex
+	// instances holds the other instances by name.
 	instances map[string]Instance
 	// exclusions holds the instances that failed or announced a shutdown, by
 	// name.
