--- a/account/errors.go
+++ b/account/errors.go
@@ -4,39 +4,42 @@
 	"fmt"
 )
 
-// SpentError is a turn that the budget does not hold.
+// SpentError is returned when the remaining budget of a program is too small
+// for a turn and no other instance can release enough of it.
 type SpentError struct {
 	program     string
 	used, total int64
 }
 
-// Error tells the program, what is used and the budget, in tokens.
+// Error names the program, its budget and the tokens used through this
+// instance.
 func (e *SpentError) Error() string {
-	return fmt.Sprintf("program %s: budget of %d tokens is spent (%d used here)", e.program, e.total, e.used)
+	return fmt.Sprintf("program %s: budget of %d tokens is spent (%d used through this instance)", e.program, e.total, e.used)
 }
 
-// NewSpentError returns the error of a turn that the budget does not hold,
-// as another instance found.
+// NewSpentError returns a SpentError for a refusal that another instance
+// reported.
 func NewSpentError(program string, total int64) *SpentError {
 	return &SpentError{program: program, total: total}
 }
 
-// NewHeldError returns the error of a turn that has to wait, as another
-// instance found, with the holders that it told.
+// NewHeldError returns a HeldError for a refusal that another instance
+// reported, with that instance's description of the holders.
 func NewHeldError(program, holders string) *HeldError {
 	return &HeldError{program: program, holders: holders}
 }
 
-// HeldError is a turn that has to wait, since other instances hold what is
-// left of the budget.
+// HeldError is returned when other instances hold the remaining budget and may
+// release some of it, so that the turn may succeed later.
 type HeldError struct {
 	program, holders string
 }
 
-// Holders tells which accounts were taken to hold it, and what of it.
+// Holders describes the accounts that hold the budget and the tokens of each,
+// as this instance last read them.
 func (e *HeldError) Holders() string { return e.holders }
 
 // Error names the program and the holders.
 func (e *HeldError) Error() string {
-	return "program " + e.program + ": what is left of the budget is held by other instances: " + e.holders
+	return "program " + e.program + ": the remaining budget is held by other instances: " + e.holders
 }
--- a/account/escrow.go
+++ b/account/escrow.go
@@ -19,161 +19,170 @@
 )
 
 const (
-	// acquireDelay is how long a start waits before it takes shards: instances
-	// that start together know each other within a second.
+	// acquireDelay is the time after process start before shards are acquired.
+	// Instances that start together discover each other within a second.
 	acquireDelay = 1500 * time.Millisecond
-	// acquireInterval is how often an instance looks whether others came or
-	// left, and shards have another home.
+	// acquireInterval is the interval at which an instance checks whether
+	// membership changes have moved the home of any shard.
 	acquireInterval = 2 * time.Second
-	// acquirePause and maxAcquirePause are between tries to take shards.
-	acquirePause    = 50 * time.Millisecond
-	maxAcquirePause = time.Second
-	// acquireTimeout bounds one try: two writes, and a read of each partition,
-	// all at once, take some 30 ms, and two seconds while the store is slow by
-	// a factor of 60.
+	// initialAcquireBackoff and maxAcquireBackoff bound the backoff between
+	// failed attempts to acquire shards.
+	initialAcquireBackoff = 50 * time.Millisecond
+	maxAcquireBackoff     = time.Second
+	// acquireTimeout bounds one attempt. An attempt makes two writes and one
+	// concurrent read of each partition, which take about 30 ms, and two
+	// seconds while the store is slower by a factor of 60.
 	acquireTimeout = 4 * time.Second
-	// shardsAtOnce are written in one transaction: the store takes 100 entries
-	// in one, and each shard is a condition and a row.
-	shardsAtOnce = 50
+	// maxShardsPerTransaction follows from the store's limit of 100 entries a
+	// transaction: each shard takes a condition and a row.
+	maxShardsPerTransaction = 50
 )
 
-// Members tells which entry instances there are.
+// Members lists the entry instances.
 type Members interface {
-	// Members returns the name of this instance, which its next start has,
-	// too, and the names of all known ones, this one included.
+	// Members returns the name of this instance, which stays the same across
+	// restarts, and the names of all known instances, including this one.
 	Members() (self string, all []string)
 }
 
-// shardKeys are the keys of the shards' escrows, shardNames the shards by the
-// names of their rows.
-var shardKeys, shardNames = nameShards()
+// shardKeys holds the row key of each shard's escrow. shardNames maps the
+// names of these rows to shard numbers.
+var shardKeys, shardNames = buildShardKeys()
 
-func nameShards() (keys [budget.Shards]store.Key, names map[string]int) {
+// buildShardKeys returns the values of shardKeys and shardNames.
+func buildShardKeys() (keys [budget.Shards]store.Key, names map[string]int) {
 	names = map[string]int{}
-	for at := range keys {
-		keys[at] = store.Key{Table: escrowsTable, Partition: partitionName(at % partitions), Name: fmt.Sprintf("shard-%03d", at)}
-		names[keys[at].Name] = at
+	for index := range keys {
+		keys[index] = store.Key{Table: escrowsTable, Partition: partitionName(index % budgetPartitions), Name: fmt.Sprintf("shard-%03d", index)}
+		names[keys[index].Name] = index
 	}
 	return keys, names
 }
 
-// Acquire keeps the right to hand out parts of budgets without a write for each
-// program, until ctx ends; then it reports on done.
-func (keeper *Keeper) Acquire(members Members) func(context.Context, chan<- error) {
+// Acquire returns a function that keeps acquiring the escrows of the shards
+// whose home is this instance, until ctx ends, and then sends nil on done.
+// With an escrow, programs start without a write each.
+func (manager *Keeper) Acquire(members Members) func(context.Context, chan<- error) {
 	return func(ctx context.Context, done chan<- error) {
 		defer func() { done <- nil }()
-		backoff := retry.Backoff{First: acquirePause, Most: maxAcquirePause}
-		began := keeper.clock.Now()
+		backoff := retry.Backoff{First: initialAcquireBackoff, Most: maxAcquireBackoff}
+		started := manager.clock.Now()
 		for {
-			pause := acquireInterval
-			if err := keeper.AcquireOnce(ctx, members, keeper.clock.Now().Sub(began) < acquireDelay); err != nil {
-				keeper.log.Info("no escrow: programs that begin here take a write each", "err", err)
-				pause = acquirePause/2 + backoff.Next()
+			delay := acquireInterval
+			if err := manager.AcquireOnce(ctx, members, manager.clock.Now().Sub(started) < acquireDelay); err != nil {
+				manager.log.Info("shards not acquired: programs that start here take a write each until the next attempt", "err", err)
+				delay = initialAcquireBackoff/2 + backoff.Next()
 				var noEscrow *NoEscrowError
 				if errors.As(err, &noEscrow) {
-					pause = acquireInterval
+					delay = acquireInterval
 				}
 			} else {
-				backoff = retry.Backoff{First: acquirePause, Most: maxAcquirePause}
+				backoff = retry.Backoff{First: initialAcquireBackoff, Most: maxAcquireBackoff}
 			}
-			if !clock.Sleep(ctx, pause) {
+			if !clock.Sleep(ctx, delay) {
 				return
 			}
 		}
 	}
 }
 
-// NoEscrowError is an instance that could acquire none of the shards that it
-// looked at.
+// NoEscrowError is returned when no shard was acquired, since the other
+// instances have not been discovered yet or all shards to acquire are held by
+// other incarnations.
 type NoEscrowError struct{ detail string }
 
-// Error says why.
+// Error gives the reason.
 func (e *NoEscrowError) Error() string { return "no escrow: " + e.detail }
 
-// AcquireOnce hands over the shards that have another home by now, and acquires
-// the escrow of those whose home is here. Early after a start the others are not
-// known yet. It returns a *NoEscrowError if there is nothing to acquire, a
-// *NotGivenBackError or the store's *store.Error; then programs take a write each.
-func (keeper *Keeper) AcquireOnce(ctx context.Context, members Members, early bool) error {
+// AcquireOnce transfers the shards whose home is now another instance and
+// acquires the escrows of those whose home is this one. With early set,
+// shortly after process start, it does neither, since the other instances may
+// not have been discovered yet. It returns a *NoEscrowError if no shard was
+// acquired although some were due, an *UnreleasedBudgetError if a program's
+// row could not be written for a transfer, or the store's *store.Error. After
+// an error programs take a write each.
+func (manager *Keeper) AcquireOnce(ctx context.Context, members Members, early bool) error {
 	if early {
-		return &NoEscrowError{detail: "the other instances are not known yet"}
+		return &NoEscrowError{detail: "the other instances have not been discovered yet"}
 	}
 	ctx, cancel := context.WithTimeout(ctx, acquireTimeout)
 	defer cancel()
 	self, names := members.Members()
-	away, toAcquire := keeper.escrows.plan(self, names, keeper.clock.Now())
-	if err := keeper.handOver(ctx, away); err != nil {
+	toTransfer, toAcquire := manager.escrows.plan(self, names, manager.clock.Now())
+	if err := manager.transferShards(ctx, toTransfer); err != nil {
 		return err
 	}
 	if len(toAcquire) == 0 {
 		return nil
 	}
-	acquired, err := keeper.acquireShards(ctx, self, toAcquire)
+	acquired, err := manager.acquireShards(ctx, self, toAcquire)
 	if err != nil {
 		return err
 	}
-	rows, err := keeper.programsWithRows(ctx, acquired)
+	rows, err := manager.programsWithRows(ctx, acquired)
 	if err != nil {
 		return err
 	}
-	keeper.escrows.use(acquired, rows)
+	manager.escrows.enable(acquired, rows)
 	if len(acquired) < len(toAcquire) {
-		keeper.escrows.postpone(keeper.clock.Now())
+		manager.escrows.postponeRetry(manager.clock.Now())
 	}
 	if len(acquired) == 0 {
-		return &NoEscrowError{detail: fmt.Sprintf("all %d shards are of other starts", len(toAcquire))}
+		return &NoEscrowError{detail: fmt.Sprintf("all %d shards are held by other incarnations", len(toAcquire))}
 	}
-	keeper.log.Info("escrow acquired: programs begin here without a write", "shards", len(acquired), "of", len(toAcquire), "instances", len(names), "rows", len(rows))
+	manager.log.Info("escrow acquired: programs start here without a write", "shards", len(acquired), "of", len(toAcquire), "instances", len(names), "rows", len(rows))
 	return nil
 }
 
-// acquireShards has escrows of this start stand in the store, and returns the
-// shards that have one: others are of other starts.
-func (keeper *Keeper) acquireShards(ctx context.Context, self string, shards []int) ([]int, error) {
-	keeper.mu.Lock()
-	keeper.accounts++
-	escrow := budget.Escrow{Account: fmt.Sprintf("%s.%d", keeper.owner, keeper.accounts), Instance: self}
-	keeper.mu.Unlock()
-	if err := keeper.lookAgain(ctx, shards); err != nil {
+// acquireShards writes an escrow of this incarnation to each of shards and
+// returns the shards that now have one. The remaining shards are held by other
+// incarnations.
+func (manager *Keeper) acquireShards(ctx context.Context, self string, shards []int) ([]int, error) {
+	manager.mu.Lock()
+	manager.accounts++
+	escrow := budget.Escrow{Account: fmt.Sprintf("%s.%d", manager.owner, manager.accounts), Instance: self}
+	manager.mu.Unlock()
+	if err := manager.refreshShards(ctx, shards); err != nil {
 		return nil, err
 	}
-	keeper.escrows.setTried(shards, true)
+	manager.escrows.setMaybeAcquired(shards, true)
 	var acquired []int
-	for some := range slices.Chunk(shards, shardsAtOnce) {
-		own, err := keeper.writeShards(ctx, some, escrow, func(stands budget.Escrow) bool { return !stands.Stands() })
+	for chunk := range slices.Chunk(shards, maxShardsPerTransaction) {
+		written, err := manager.writeShards(ctx, chunk, escrow, func(current budget.Escrow) bool { return !current.Stands() })
 		if err != nil {
 			return nil, err
 		}
-		acquired = append(acquired, own...)
+		acquired = append(acquired, written...)
 	}
-	taken := slices.DeleteFunc(slices.Clone(shards), func(at int) bool { return slices.Contains(acquired, at) })
-	keeper.escrows.setTried(taken, false)
+	foreign := slices.DeleteFunc(slices.Clone(shards), func(index int) bool { return slices.Contains(acquired, index) })
+	manager.escrows.setMaybeAcquired(foreign, false)
 	return acquired, nil
 }
 
-// lookAgain reads the rows of those shards that other starts had when last
-// seen. A start that is known to have ended releases them no more: after a
-// loss of power of all instances each would read all partitions again and again.
-func (keeper *Keeper) lookAgain(ctx context.Context, shards []int) error {
-	taken := map[string]bool{}
-	for _, at := range shards {
-		escrow, _ := keeper.escrows.known(at)
-		if escrow.Stands() && !keeper.isOwn(escrow) && !keeper.holders.Gone(escrow.Account) {
-			taken[shardKeys[at].Partition] = true
+// refreshShards reads the rows of those shards that were last seen held by
+// other incarnations. Shards of an incarnation that is known to have
+// terminated are left out, since it can no longer release them: after a power
+// loss of all instances each would otherwise read all partitions repeatedly.
+func (manager *Keeper) refreshShards(ctx context.Context, shards []int) error {
+	stale := map[string]bool{}
+	for _, index := range shards {
+		escrow, _ := manager.escrows.get(index)
+		if escrow.Stands() && !manager.isLocal(escrow) && !manager.holders.Gone(escrow.Account) {
+			stale[shardKeys[index].Partition] = true
 		}
 	}
-	return inPartitions(taken, func(partition string) error {
-		page, err := keeper.store.Read(ctx, store.Range{Table: escrowsTable, Partition: partition})
+	return forEachPartition(stale, func(partition string) error {
+		page, err := manager.store.Read(ctx, store.Range{Table: escrowsTable, Partition: partition})
 		if err != nil {
 			return err
 		}
-		return keeper.takeShards(page.Rows)
+		return manager.adoptShards(page.Rows)
 	})
 }
 
-// inPartitions calls f for each partition at once, and returns one of the
-// errors.
-func inPartitions(partitions map[string]bool, f func(partition string) error) error {
+// forEachPartition calls f for all partitions concurrently and returns one of
+// the errors.
+func forEachPartition(partitions map[string]bool, f func(partition string) error) error {
 	results := make(chan error, len(partitions))
 	for partition := range partitions {
 		go func() { results <- f(partition) }()
@@ -187,89 +196,91 @@
 	return failed
 }
 
-// releaseShards takes this start's escrows out of the store. All programs that
-// they were used for must have a row. A shard whose escrow may still come, by
-// a write without an answer, is written, too: that write's condition fails
-// then.
-func (keeper *Keeper) releaseShards(ctx context.Context, shards []int) error {
+// releaseShards removes this incarnation's escrows from the store. Every
+// program that was granted tokens by one of them must already have a row. A
+// shard is written even if its escrow is not in the store yet, since an
+// unanswered write may still be applied; the release makes the condition of
+// that write fail.
+func (manager *Keeper) releaseShards(ctx context.Context, shards []int) error {
 	var failed error
-	for some := range slices.Chunk(shards, shardsAtOnce) {
-		released, err := keeper.writeShards(ctx, some, budget.Escrow{}, func(stands budget.Escrow) bool { return !stands.Stands() || keeper.isOwn(stands) })
+	for chunk := range slices.Chunk(shards, maxShardsPerTransaction) {
+		released, err := manager.writeShards(ctx, chunk, budget.Escrow{}, func(current budget.Escrow) bool { return !current.Stands() || manager.isLocal(current) })
 		if err != nil {
 			failed = err
 		} else {
-			released = some // also those that turned out to be of other starts
+			released = chunk // including shards found to be held by other incarnations
 		}
-		keeper.escrows.setTried(released, false)
+		manager.escrows.setMaybeAcquired(released, false)
 	}
 	return failed
 }
 
-// isOwn reports whether an escrow is this start's.
-func (keeper *Keeper) isOwn(escrow budget.Escrow) bool {
-	return strings.HasPrefix(escrow.Account, keeper.owner+".")
+// isLocal reports whether an escrow belongs to this incarnation.
+func (manager *Keeper) isLocal(escrow budget.Escrow) bool {
+	return strings.HasPrefix(escrow.Account, manager.owner+".")
 }
 
-// writeShards makes escrow that of shards, but of those whose escrow may not
-// be replaced, and returns the shards that are written, or whose escrow is this
-// start's. With an error these may be some.
-func (keeper *Keeper) writeShards(ctx context.Context, shards []int, escrow budget.Escrow, replaces func(budget.Escrow) bool) ([]int, error) {
+// writeShards writes escrow to those of shards whose current escrow replaces
+// accepts. It returns the shards that were written or already belong to this
+// incarnation. With an error the result may be incomplete.
+func (manager *Keeper) writeShards(ctx context.Context, shards []int, escrow budget.Escrow, replaces func(budget.Escrow) bool) ([]int, error) {
 	value, err := escrow.Encode()
 	if err != nil {
 		return nil, store.NewError(store.FailureInvalid, "escrows", err.Error())
 	}
 	for range maxConflicts {
 		var tx store.Transaction
-		var own, written []int
-		for _, at := range shards {
-			stands, version := keeper.escrows.known(at)
+		var alreadyLocal, written []int
+		for _, index := range shards {
+			current, version := manager.escrows.get(index)
 			switch {
-			case replaces(stands):
-				tx.Conditions = append(tx.Conditions, store.Condition{Key: shardKeys[at], Version: version})
-				tx.Puts = append(tx.Puts, store.Put{Key: shardKeys[at], Value: value})
-				written = append(written, at)
-			case keeper.isOwn(stands):
-				own = append(own, at)
+			case replaces(current):
+				tx.Conditions = append(tx.Conditions, store.Condition{Key: shardKeys[index], Version: version})
+				tx.Puts = append(tx.Puts, store.Put{Key: shardKeys[index], Value: value})
+				written = append(written, index)
+			case manager.isLocal(current):
+				alreadyLocal = append(alreadyLocal, index)
 			}
 		}
 		if len(written) == 0 {
-			return own, nil
+			return alreadyLocal, nil
 		}
-		version, err := keeper.store.Commit(ctx, tx)
+		version, err := manager.store.Commit(ctx, tx)
 		if err == nil {
-			for _, at := range written {
-				keeper.escrows.take(at, escrow, version)
+			for _, index := range written {
+				manager.escrows.update(index, escrow, version)
 			}
-			return append(own, written...), nil
+			return append(alreadyLocal, written...), nil
 		}
-		if apart := shardsByPartition(written); store.Unserved(err) && len(apart) > 1 {
-			more, err := keeper.writeShardsApart(ctx, apart, escrow, replaces)
-			return append(own, more...), err
+		if groups := shardsByPartition(written); store.Unserved(err) && len(groups) > 1 {
+			more, err := manager.writeShardsByPartition(ctx, groups, escrow, replaces)
+			return append(alreadyLocal, more...), err
 		}
-		if err := keeper.learnShards(err); err != nil {
-			return own, err
+		if err := manager.adoptConflictingShards(err); err != nil {
+			return alreadyLocal, err
 		}
 	}
-	return nil, store.NewError(store.FailureConflict, "escrows", "other instances write them all the time")
+	return nil, store.NewError(store.FailureConflict, "escrows", "other instances keep writing the shards")
 }
 
-// writeShardsApart writes shards, those of each partition by themselves: one
-// partition that is away or busy refuses what spans it. It returns what
-// writeShards does, and one of the errors.
-func (keeper *Keeper) writeShardsApart(ctx context.Context, apart [][]int, escrow budget.Escrow, replaces func(budget.Escrow) bool) ([]int, error) {
+// writeShardsByPartition calls writeShards for the shards of each partition
+// separately, since a transaction over several partitions is rejected if one
+// of them is unavailable or busy. It returns the shards as writeShards does,
+// and one of the errors.
+func (manager *Keeper) writeShardsByPartition(ctx context.Context, groups [][]int, escrow budget.Escrow, replaces func(budget.Escrow) bool) ([]int, error) {
 	type result struct {
 		written []int
 		err     error
 	}
-	results := make(chan result, len(apart))
-	for _, shards := range apart {
+	results := make(chan result, len(groups))
+	for _, shards := range groups {
 		go func() {
-			written, err := keeper.writeShards(ctx, shards, escrow, replaces)
+			written, err := manager.writeShards(ctx, shards, escrow, replaces)
 			results <- result{written, err}
 		}()
 	}
 	var all result
-	for range apart {
+	for range groups {
 		got := <-results
 		all.written = append(all.written, got.written...)
 		if got.err != nil {
@@ -279,90 +290,91 @@
 	return all.written, all.err
 }
 
-// shardsByPartition splits shards by the partition of their rows.
+// shardsByPartition groups shards by the partition of their rows.
 func shardsByPartition(shards []int) [][]int {
-	split := map[string][]int{}
-	for _, at := range shards {
-		partition := shardKeys[at].Partition
-		split[partition] = append(split[partition], at)
+	groups := map[string][]int{}
+	for _, index := range shards {
+		partition := shardKeys[index].Partition
+		groups[partition] = append(groups[partition], index)
 	}
-	return slices.Collect(maps.Values(split))
+	return slices.Collect(maps.Values(groups))
 }
 
-// learnShards takes in the escrows that stand in the way of a write. It
-// returns err if that is no conflict.
-func (keeper *Keeper) learnShards(err error) error {
+// adoptConflictingShards records the escrows that made a write fail with a
+// conflict. It returns err unchanged if err is not a conflict.
+func (manager *Keeper) adoptConflictingShards(err error) error {
 	var failure *store.Error
 	if !errors.As(err, &failure) || failure.Failure() != store.FailureConflict {
 		return err
 	}
-	return keeper.takeShards(failure.Rows())
+	return manager.adoptShards(failure.Rows())
 }
 
-// takeShards takes in those of rows that are of shards.
-func (keeper *Keeper) takeShards(rows []store.Row) error {
+// adoptShards records those of rows that hold the escrow of a shard.
+func (manager *Keeper) adoptShards(rows []store.Row) error {
 	for _, row := range rows {
-		at, ok := shardNames[row.Key.Name]
-		if !ok || row.Key != shardKeys[at] {
+		index, ok := shardNames[row.Key.Name]
+		if !ok || row.Key != shardKeys[index] {
 			continue
 		}
-		if err := keeper.takeShard(at, row); err != nil {
+		if err := manager.adoptShard(index, row); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// takeShard takes in a shard's row.
-func (keeper *Keeper) takeShard(at int, row store.Row) error {
+// adoptShard records the row of one shard.
+func (manager *Keeper) adoptShard(index int, row store.Row) error {
 	escrow, err := budget.DecodeEscrow(row.Value)
 	if err != nil {
 		return store.NewError(store.FailureInvalid, "escrows", err.Error())
 	}
-	keeper.escrows.take(at, escrow, row.Version)
+	manager.escrows.update(index, escrow, row.Version)
 	return nil
 }
 
-// readShard reads a shard's row.
-func (keeper *Keeper) readShard(ctx context.Context, at int) error {
-	row, err := store.Get(ctx, keeper.store, shardKeys[at])
+// readShard reads and records the row of one shard.
+func (manager *Keeper) readShard(ctx context.Context, index int) error {
+	row, err := store.Get(ctx, manager.store, shardKeys[index])
 	if err != nil {
 		return err
 	}
-	return keeper.takeShard(at, row)
+	return manager.adoptShard(index, row)
 }
 
-// handOver has other instances acquire shards: nothing is handed out by escrow
-// in them any more, each of their programs known here gets a row, and the
-// escrows are released. It returns a *NotGivenBackError if a row is not
-// written; the escrows stand until it is.
-func (keeper *Keeper) handOver(ctx context.Context, shards []int) error {
+// transferShards lets other instances acquire shards. It stops granting by
+// their escrows, writes a row for each of their programs known here and then
+// releases the escrows. It returns an *UnreleasedBudgetError if a program's
+// row could not be written; the escrow of that program's shard stays until it
+// is.
+func (manager *Keeper) transferShards(ctx context.Context, shards []int) error {
 	if len(shards) == 0 {
 		return nil
 	}
-	keeper.escrows.suspend(shards)
-	err := keeper.release(ctx, shards, func(id string) bool {
+	manager.escrows.disable(shards)
+	err := manager.releaseProgramsAndShards(ctx, shards, func(id string) bool {
 		_, ok := slices.BinarySearch(shards, budget.Shard(id))
 		return ok
 	})
 	if err != nil {
 		return err
 	}
-	keeper.log.Info("handed over: programs have another home", "shards", len(shards))
+	manager.log.Info("shards transferred: their programs have another home", "shards", len(shards))
 	return nil
 }
 
-// programsWithRows reads which programs have a row in the partitions of
-// shards, as hashes of their names.
-func (keeper *Keeper) programsWithRows(ctx context.Context, shards []int) (map[uint64]struct{}, error) {
-	in := map[string]bool{}
-	for _, at := range shards {
-		in[shardKeys[at].Partition] = true
+// programsWithRows returns the hashes of the names of all program rows in the
+// partitions of shards.
+func (manager *Keeper) programsWithRows(ctx context.Context, shards []int) (map[uint64]struct{}, error) {
+	inPartition := map[string]bool{}
+	for _, index := range shards {
+		inPartition[shardKeys[index].Partition] = true
 	}
 	var mu sync.Mutex
 	rows := map[uint64]struct{}{}
-	err := inPartitions(in, func(partition string) error {
-		names, err := keeper.namesIn(ctx, partition)
+	err := forEachPartition(inPartition, func(partition string) error {
+		names, err := manager.rowNames(ctx, partition)
 		mu.Lock()
 		defer mu.Unlock()
 		for _, name := range names {
@@ -373,12 +385,12 @@
 	return rows, err
 }
 
-// namesIn returns the names of the rows in a partition.
-func (keeper *Keeper) namesIn(ctx context.Context, partition string) ([]string, error) {
+// rowNames returns the names of the program rows in a partition.
+func (manager *Keeper) rowNames(ctx context.Context, partition string) ([]string, error) {
 	var names []string
-	r := store.Range{Table: table, Partition: partition}
+	r := store.Range{Table: budgetTable, Partition: partition}
 	for {
-		page, err := keeper.store.Read(ctx, r)
+		page, err := manager.store.Read(ctx, r)
 		if err != nil {
 			return nil, err
 		}
--- a/account/grant.go
+++ b/account/grant.go
@@ -9,94 +9,101 @@
 )
 
 const (
-	// spentTime is how long a program whose budget was found spent is told
-	// so without another look: one that loops without end asks many times a
-	// second, and what a turn leaves over when it ends may count as spent
-	// for a second. Its home remembers, and so does who asked the home.
-	spentTime = 400 * time.Millisecond
-	// conflicts in a row, after which a turn is turned away: each means that
-	// another instance served a turn of the program at the same moment.
+	// spentCacheTTL is how long a program whose budget was found spent is
+	// refused without another check. A program that loops sends many turns a
+	// second, and unused tokens of an ended turn may count as spent for a
+	// second. Both the home and the instance that made the request cache the
+	// result.
+	spentCacheTTL = 400 * time.Millisecond
+	// maxConflicts is the number of write conflicts on a row after which a
+	// turn is rejected. Each conflict means that another instance served a
+	// turn of the program at the same moment.
 	maxConflicts = 8
-	// escrowLook is the least time between two reads of its shard's row for a
-	// program that is refused. An instance that stops takes three seconds and
-	// more, and one that died releases nothing.
-	escrowLook = time.Second
-	// prepareTimeout bounds writing a row that a turn no longer waits for. A
-	// partition that is busy answers within a second and a quarter, or refuses.
-	prepareTimeout = 1500 * time.Millisecond
-	// askTimeout bounds asking another instance to give back: a write there
-	// and the way.
-	askTimeout = 300 * time.Millisecond
+	// minShardReadInterval is the minimum time between two reads of the
+	// shard's row for one refused program. An instance takes three seconds or
+	// more to stop, and a crashed one releases nothing.
+	minShardReadInterval = time.Second
+	// rowWriteTimeout bounds the write of a row for which the turn no longer
+	// waits. A busy partition responds or rejects the write within 1.25
+	// seconds.
+	rowWriteTimeout = 1500 * time.Millisecond
+	// releaseRequestTimeout bounds a request to another instance to release
+	// tokens: a store write there and the round trip.
+	releaseRequestTimeout = 300 * time.Millisecond
 )
 
-// grant returns once the row grants the turn and the turn is begun, and what
-// was promised to it. If the row does not, other instances are asked to give
-// back first. That is done without holding the row: two instances that ask each
-// other must not wait for each other's.
-func (keeper *Keeper) grant(ctx context.Context, p *program, turn budget.Turn, total int64) (budget.Turn, error) {
-	decision, err := keeper.tryGrant(ctx, p, turn, total)
+// grant writes the program's row, if necessary, until it grants the turn, and
+// begins the turn. It returns the turn as granted, which may be partial. If
+// the row cannot grant the turn, grant requests other instances to release
+// unused tokens and tries again. It does not hold the row lock during these
+// requests: two instances that request a release from each other would
+// otherwise each wait for the other's lock.
+func (manager *Keeper) grant(ctx context.Context, p *program, turn budget.Turn, total int64) (budget.Turn, error) {
+	decision, err := manager.tryGrant(ctx, p, turn, total)
 	if err != nil || decision == budget.DecisionServe {
 		return turn, err
 	}
 	if decision == budget.DecisionSpent && !p.heldByOthers() {
-		return turn, keeper.refuse(p, decision, turn, total)
+		return turn, manager.rejection(p, decision, turn, total)
 	}
-	disowned, err := keeper.disownReleased(ctx, p)
+	removed, err := manager.removeReleasedEscrows(ctx, p)
 	if err != nil {
 		return turn, err
 	}
-	gone := keeper.holdersGone(p)
-	if !gone {
-		keeper.ask(ctx, p)
+	terminated := manager.allHoldersTerminated(p)
+	if !terminated {
+		manager.requestRelease(ctx, p)
 	}
-	partly := decision == budget.DecisionWait && !turn.Rest && p.besideEscrow()
-	if partly {
+	partial := decision == budget.DecisionWait && !turn.Rest && p.mayBeginPartially()
+	if partial {
 		turn = budget.FirstPart(turn.Most)
 	}
-	if partly || disowned || !gone {
-		decision, err = keeper.tryGrant(ctx, p, turn, total)
+	if partial || removed || !terminated {
+		decision, err = manager.tryGrant(ctx, p, turn, total)
 		if err != nil || decision == budget.DecisionServe {
 			return turn, err
 		}
 	}
-	if gone || !turn.Rest && keeper.isLost(p, turn, total) {
-		// Told to wait for what is lost, a program that loops came back some 80
-		// times, with a read or two each, until its time was over; 38 programs
-		// sent 3,100 such turns in 20 s after a loss of power.
+	if terminated || !turn.Rest && manager.isLost(p, turn, total) {
+		// If such turns are told to wait for lost tokens, a program that loops
+		// retries about 80 times, with a read or two each, until its deadline:
+		// 38 programs sent 3,100 such turns in 20 s after a power loss.
 		decision = budget.DecisionSpent
 	}
-	return turn, keeper.refuse(p, decision, turn, total)
+	return turn, manager.rejection(p, decision, turn, total)
 }
 
-// disownReleased leaves out accounts that escrows implied which were released
-// since, and reports whether there were any. Their owners wrote what they handed out
-// before, so that one of which the row tells nothing handed out nothing.
-func (keeper *Keeper) disownReleased(ctx context.Context, p *program) (bool, error) {
-	unused, version := p.unusedEscrows(keeper.clock.Now())
+// removeReleasedEscrows removes accounts whose escrows were released since
+// they were implied, and reports whether there were any. An owner writes the
+// rows of all programs that its escrow granted tokens before it releases the
+// escrow, so an account that is unused in the row granted nothing.
+func (manager *Keeper) removeReleasedEscrows(ctx context.Context, p *program) (bool, error) {
+	unused, version := p.unusedEscrows(manager.clock.Now())
 	if len(unused) == 0 {
 		return false, nil
 	}
-	at := budget.Shard(p.id)
-	if err := keeper.readShard(ctx, at); err != nil {
+	index := budget.Shard(p.id)
+	if err := manager.readShard(ctx, index); err != nil {
 		return false, err
 	}
-	escrow, _ := keeper.escrows.known(at)
-	disowned := false
+	escrow, _ := manager.escrows.get(index)
+	removed := false
 	for _, account := range unused {
 		if account != escrow.Account {
-			p.disown(account, version)
-			disowned = true
+			p.removeEscrow(account, version)
+			removed = true
 		}
 	}
-	return disowned, nil
+	return removed, nil
 }
 
-// prepare has the row written that grants a turn, if the account does not yet, and
-// waits for that for rowTimeout. A write under way goes on after that: by the time
-// that a turn which began with a part needs its rest, the row mostly grants it. It
-// returns the store's *store.Error.
-func (keeper *Keeper) prepare(ctx context.Context, p *program, turn budget.Turn, total int64) error {
-	limited, cancel := context.WithTimeout(ctx, rowTimeout)
+// writeGrant writes the row that grants a turn, unless the account grants it
+// already, and waits for the write for at most rowWaitTimeout. A pending write
+// continues after that, so that the row usually grants the remainder by the
+// time a turn that began with a partial grant needs it. It returns the store's
+// *store.Error.
+func (manager *Keeper) writeGrant(ctx context.Context, p *program, turn budget.Turn, total int64) error {
+	limited, cancel := context.WithTimeout(ctx, rowWaitTimeout)
 	defer cancel()
 	if err := p.lockRow(limited); err != nil {
 		return err
@@ -106,14 +113,14 @@
 		p.unlockRow()
 		return nil
 	}
-	written := make(chan error, 1) // not read if the turn begins before the write ends
+	written := make(chan error, 1) // not received if the turn begins before the write completes
 	go func() {
 		defer p.unlockRow()
-		ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), prepareTimeout)
+		ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), rowWriteTimeout)
 		defer cancel()
-		err := keeper.write(ctx, p, ledger)
+		err := manager.writeRow(ctx, p, ledger)
 		if err == nil {
-			keeper.granted.Inc(1)
+			manager.granted.Inc(1)
 		}
 		written <- err
 	}()
@@ -121,106 +128,111 @@
 	case err := <-written:
 		return err
 	case <-limited.Done():
-		return store.NewError(store.FailureUnanswered, "budget", "the row is still being written")
+		return store.NewError(store.FailureUnanswered, "budget", "the write of the budget row is still pending")
 	}
 }
 
-// isLost reports whether p's budget does not hold the turn since starts that
-// ended for good hold some of it: nobody gives that back.
-func (keeper *Keeper) isLost(p *program, turn budget.Turn, total int64) bool {
+// isLost reports whether p's budget is too small for the turn because
+// terminated incarnations hold some of it, which nobody can release any more.
+func (manager *Keeper) isLost(p *program, turn budget.Turn, total int64) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return !p.usage.Fits(turn, total, keeper.holders.Gone)
+	return !p.usage.Fits(turn, total, manager.holders.Gone)
 }
 
-// holdersGone reports whether all others that hold something of p's budget
-// have ended for good, so that nothing comes back.
-func (keeper *Keeper) holdersGone(p *program) bool {
+// allHoldersTerminated reports whether other incarnations hold tokens of p's
+// budget and all of these have terminated for good, so that no tokens will be
+// released.
+func (manager *Keeper) allHoldersTerminated(p *program) bool {
 	p.mu.Lock()
 	accounts := p.usage.Holders()
 	p.mu.Unlock()
 	for _, account := range accounts {
-		if !keeper.holders.Gone(account) {
+		if !manager.holders.Gone(account) {
 			return false
 		}
 	}
 	return len(accounts) > 0
 }
 
-// tryGrant begins the turn if the row grants it, or can be made to, and
-// returns DecisionServe; else it returns what the row as read now allows.
-func (keeper *Keeper) tryGrant(ctx context.Context, p *program, turn budget.Turn, total int64) (budget.Decision, error) {
+// tryGrant begins the turn and returns DecisionServe if the row grants the
+// turn or can be changed to. Otherwise it returns the decision that follows
+// from the row as just read.
+func (manager *Keeper) tryGrant(ctx context.Context, p *program, turn budget.Turn, total int64) (budget.Decision, error) {
 	if err := p.lockRow(ctx); err != nil {
 		return 0, err
 	}
 	defer p.unlockRow()
-	if !turn.Rest && keeper.knownSpent(p, turn.Most) {
-		// Found while this turn waited. A program that loops sends many turns
-		// at once: if each read the row, the last would wait longer than
-		// borrowers do, and these would grant by rows of their own what a turn
+	if !turn.Rest && manager.foundSpentRecently(p, turn.Most) {
+		// The budget was found spent while this turn waited for the row lock.
+		// A program that loops sends many turns at once. If each of them read
+		// the row, the last one would wait longer than the borrow timeout, and
+		// the borrowing instances would grant by rows of their own what a turn
 		// in flight still needs.
 		return budget.DecisionSpent, nil
 	}
-	fresh := false
+	rowRead := false
 	for range maxConflicts {
 		switch decision, ledger := p.begin(turn, total); decision {
 		case budget.DecisionServe:
 			return decision, nil
 		case budget.DecisionGrant:
-			err := keeper.write(ctx, p, ledger)
+			err := manager.writeRow(ctx, p, ledger)
 			if err == nil {
-				keeper.granted.Inc(1)
+				manager.granted.Inc(1)
 				turn.Taken = true
 				continue
 			}
 			if store.Unserved(err) && turn.Rest && !turn.Taken {
-				turn.Taken = true // the account may hold it without a row
+				turn.Taken = true // the account may grant the part without a row
 				continue
 			}
 			if !store.Is(err, store.FailureConflict) {
-				keeper.failed.Inc(1)
+				manager.failed.Inc(1)
 				return 0, err
 			}
-			fresh = true
+			rowRead = true
 		default:
-			if fresh {
+			if rowRead {
 				if decision == budget.DecisionSpent && !turn.Rest && !p.heldByOthers() {
-					// Turns that wait for the row are to find it noted.
-					p.noteSpent(keeper.clock.Now(), turn.Most)
+					// Turns that wait for the row lock must find the result.
+					p.recordSpent(manager.clock.Now(), turn.Most)
 				}
 				return decision, nil
 			}
-			// What is known of the others may be old.
-			if err := keeper.read(ctx, p); err != nil {
+			// The recorded accounts of other instances may be out of date.
+			if err := manager.readRow(ctx, p); err != nil {
 				return 0, err
 			}
-			fresh = true
+			rowRead = true
 		}
 	}
 	return budget.DecisionWait, nil
 }
 
-// ask has other instances give back what they do not use of p's budget.
-func (keeper *Keeper) ask(ctx context.Context, p *program) {
+// requestRelease requests the other instances that hold tokens of p's budget
+// to release those that they do not use.
+func (manager *Keeper) requestRelease(ctx context.Context, p *program) {
 	p.mu.Lock()
 	accounts := p.usage.Holders()
 	p.mu.Unlock()
 	if len(accounts) == 0 {
 		return
 	}
-	ctx, cancel := context.WithTimeout(ctx, askTimeout)
+	ctx, cancel := context.WithTimeout(ctx, releaseRequestTimeout)
 	defer cancel()
-	keeper.holders.GiveBack(ctx, p.id, accounts)
+	manager.holders.GiveBack(ctx, p.id, accounts)
 }
 
-// KnownSpent reports whether the program's budget was found spent just now
-// for a turn no larger than this, which the account does not hold by now
-// either: Reserve would return a *SpentError.
-func (keeper *Keeper) KnownSpent(id string, turn, total int64) bool {
-	keeper.mu.Lock()
-	p := keeper.programs[id]
-	keeper.mu.Unlock()
-	if p == nil || !keeper.knownSpent(p, turn) {
+// KnownSpent reports whether Reserve would return a *SpentError without a
+// check: the program's budget was found spent within spentCacheTTL for a turn
+// of at most this size, and the local account does not grant the turn either.
+// A turn for which it returns true is counted as refused.
+func (manager *Keeper) KnownSpent(id string, turn, total int64) bool {
+	manager.mu.Lock()
+	p := manager.programs[id]
+	manager.mu.Unlock()
+	if p == nil || !manager.foundSpentRecently(p, turn) {
 		return false
 	}
 	p.mu.Lock()
@@ -228,32 +240,34 @@
 	if decision, _ := p.usage.Decide(budget.Whole(turn), total); decision == budget.DecisionServe {
 		return false
 	}
-	keeper.spent.Inc(1)
+	manager.spent.Inc(1)
 	return true
 }
 
-// knownSpent reports whether the budget was found spent just now for a turn
-// no larger than this.
-func (keeper *Keeper) knownSpent(p *program, turn int64) bool {
+// foundSpentRecently reports whether the budget was found spent within
+// spentCacheTTL for a turn of at most this size.
+func (manager *Keeper) foundSpentRecently(p *program, turn int64) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return turn >= p.spentFor && keeper.clock.Now().Sub(p.spent) < spentTime
+	return turn >= p.spentTokens && manager.clock.Now().Sub(p.spentAt) < spentCacheTTL
 }
 
-func (keeper *Keeper) refuse(p *program, decision budget.Decision, turn budget.Turn, total int64) error {
+// rejection returns the error for a turn that is not granted, and counts it.
+func (manager *Keeper) rejection(p *program, decision budget.Decision, turn budget.Turn, total int64) error {
 	if decision == budget.DecisionSpent {
-		keeper.foundSpent(p, turn)
+		manager.countSpent(p, turn)
 		return &SpentError{program: p.id, used: p.used(), total: total}
 	}
-	keeper.held.Inc(1)
+	manager.held.Inc(1)
 	return &HeldError{program: p.id, holders: p.holders()}
 }
 
-// foundSpent notes that the budget does not hold a turn. The rest of one says
-// nothing of the next.
-func (keeper *Keeper) foundSpent(p *program, turn budget.Turn) {
-	keeper.spent.Inc(1)
+// countSpent counts a turn that the budget is too small for and records it for
+// spentCacheTTL. The remainder of a turn is not recorded, since its refusal
+// does not imply that of the next turn.
+func (manager *Keeper) countSpent(p *program, turn budget.Turn) {
+	manager.spent.Inc(1)
 	if !turn.Rest {
-		p.noteSpent(keeper.clock.Now(), turn.Most)
+		p.recordSpent(manager.clock.Now(), turn.Most)
 	}
 }
--- a/account/loan.go
+++ b/account/loan.go
@@ -12,205 +12,217 @@
 )
 
 const (
-	// borrowTimeout bounds asking the home of a program: a write there and
-	// the way, some 10 ms, and 250 ms and more while the store is slow or
-	// loses answers. After it the turn is granted by an account of this
-	// instance's own, which then costs a write of its own.
+	// borrowTimeout bounds a loan request to the home of a program: a store
+	// write there and the round trip take about 10 ms, and 250 ms or more
+	// while the store is slow or loses responses. After the timeout the turn
+	// is granted by a local account, at the cost of another write.
 	borrowTimeout = 400 * time.Millisecond
-	// loanLifetime is after how long a loan counts as spent: the longest
-	// request and the time for its repayment are over by then.
+	// loanLifetime is the time after which an unrepaid loan counts as spent.
+	// It exceeds the longest request plus the time for its repayment.
 	loanLifetime = 30 * time.Second
-	// repayInterval is how long repayments are gathered. A program's next
-	// turn comes 50 ms later or more.
+	// repayInterval is how long repayments are batched. The next turn of a
+	// program comes 50 ms later or more.
 	repayInterval = 25 * time.Millisecond
-	// repayTimeout bounds telling a home of repayments.
+	// repayTimeout bounds one call that sends repayments to a home instance.
 	repayTimeout = 300 * time.Millisecond
-	// maxRepayments are kept while the homes cannot be told, some seconds'
-	// worth of one instance's turns; a loan that is never repaid counts as
-	// spent.
-	maxRepayments = 4096
+	// maxPendingRepayments bounds the repayments kept in memory while homes
+	// are unreachable. It is a few seconds' worth of one instance's turns. A
+	// repayment beyond it is dropped, and its loan counts as spent.
+	maxPendingRepayments = 4096
 )
 
-// Repayment tells how much of a loan was spent; what it left over may be
-// handed out again.
+// Repayment reports how many tokens of a loan were spent. The home may grant
+// the unused tokens again.
 type Repayment struct {
 	Loan  uint64
 	Spent int64
-	// Place is where the turn left its conversation.
+	// Place is the location of the conversation's cache after the turn.
 	Place Place
 }
 
-// Loan is what a home set aside for a turn.
+// Loan is a reservation of a program's tokens made at its home instance for a
+// turn that another instance serves.
 type Loan struct {
-	// ID names the loan to its home.
+	// ID identifies the loan at its home.
 	ID uint64
-	// Promised is how many tokens it is.
+	// Promised is the number of tokens granted, which may be fewer than the
+	// turn's maximum.
 	Promised int64
-	// Places are where parts of the turn's prompt are.
+	// Places are the known cache locations of the requested segments of the
+	// turn's prompt.
 	Places []Place
 }
 
-// Borrowing is what an instance asks a program's home for.
+// Borrowing is a loan request to a program's home.
 type Borrowing struct {
 	Turn  budget.Turn
 	Total int64
-	// Parts are those of the turn's prompt whose places are asked for.
+	// Parts names the segments of the turn's prompt whose cache locations are
+	// requested.
 	Parts []string
-	// Loan is the one before, for another part of its turn.
+	// Loan is the ID of the turn's previous loan in a request for a further
+	// part of the turn, and 0 in the first.
 	Loan uint64
 }
 
-// Lenders are the instances that keep the accounts of programs for others.
-// The turns of one program come through several instances; if each had an
-// account of its own, each would write the program's row.
+// Lenders reaches the home instances of programs. The turns of one program
+// come through several instances. If each granted them from an account of its
+// own, each would write the program's row.
 type Lenders interface {
-	// Home returns the instance that keeps a program's account; "" if that
-	// is this one.
+	// Home returns the name of a program's home instance, or "" if that is
+	// this instance.
 	Home(program string) string
-	// Borrow has instance set a part of a program's budget aside. It returns a
-	// *SpentError or a *HeldError if there are no tokens left, and another
-	// error if that cannot be known.
+	// Borrow requests a loan from instance. It returns a *SpentError or a
+	// *HeldError if instance refused the loan, and another error if the result
+	// is unknown or no account was tried.
 	Borrow(ctx context.Context, instance, program string, borrowing Borrowing) (Loan, error)
-	// Repay tells instance what was spent of loans. A failure has no
-	// consequence but that they count as spent.
+	// Repay reports to instance what was spent of loans. The only consequence
+	// of a failure is that these loans count as spent.
 	Repay(ctx context.Context, instance string, repayments []Repayment) error
 }
 
-// givenLoan is what this instance lent of a program's account.
-type givenLoan struct {
+// grantedLoan is a loan that this instance granted to another.
+type grantedLoan struct {
 	reservation *Reservation
-	at          time.Time
-	// covered is what else its turn may ask for that the account has counted.
+	grantedAt   time.Time
+	// covered is the number of tokens that the turn may still request beyond
+	// the loan and that the account has already counted.
 	covered int64
 }
 
-// loans are the loans given and the repayments due.
+// loans holds the loans granted to other instances and the pending repayments
+// to other homes.
 type loans struct {
 	mu      sync.Mutex
-	given   map[uint64]givenLoan
-	last    uint64
+	granted map[uint64]grantedLoan
+	lastID  uint64
 	stopped bool
-	// due are the repayments to tell, by home.
-	due   map[string][]Repayment
-	count int
-	wake  chan struct{}
+	// pending holds the repayments to send, by home.
+	pending      map[string][]Repayment
+	pendingCount int
+	wake         chan struct{}
 }
 
-// newLoans returns loans without any. Their IDs begin anywhere, so that a
-// repayment that is meant for an earlier start of the instance settles none of
-// them: it would free what the loan's turn may still hand out.
+// newLoans returns empty loans. IDs begin at a random number, so that a
+// repayment intended for an earlier incarnation of the instance matches no
+// current loan. Otherwise it would release tokens that the turn of that loan
+// may still spend.
 func newLoans() *loans {
-	return &loans{given: map[uint64]givenLoan{}, last: rand.Uint64(), due: map[string][]Repayment{}, wake: make(chan struct{}, 1)}
+	return &loans{granted: map[uint64]grantedLoan{}, lastID: rand.Uint64(), pending: map[string][]Repayment{}, wake: make(chan struct{}, 1)}
 }
 
-// home returns the instance that keeps a program's account, "" if that is this
-// one: it is, too, while the escrow of the program's shard is held here, though others came
-// since.
-func (keeper *Keeper) home(id string) string {
-	if keeper.escrows.isEscrowed(id) {
+// home returns the home instance of a program, or "" if that is this instance.
+// An instance that holds the escrow of the program's shard stays its home even
+// if newer instances have joined.
+func (manager *Keeper) home(id string) string {
+	if manager.escrows.usableFor(id) {
 		return ""
 	}
-	return keeper.lenders.Home(id)
+	return manager.lenders.Home(id)
 }
 
-// borrow reserves a part at the program's home. It returns nil and no error
-// if this instance has to grant it by itself.
-func (keeper *Keeper) borrow(ctx context.Context, p *program, borrowing Borrowing) (*Reservation, error) {
-	home := keeper.home(p.id)
+// borrow reserves tokens by a loan of the program's home. It returns nil and
+// no error if this instance has to grant the tokens from its local account.
+func (manager *Keeper) borrow(ctx context.Context, p *program, borrowing Borrowing) (*Reservation, error) {
+	home := manager.home(p.id)
 	if home == "" {
 		return nil, nil
 	}
 	ctx, cancel := context.WithTimeout(ctx, borrowTimeout)
 	defer cancel()
 	turn := borrowing.Turn
-	loan, err := keeper.lenders.Borrow(ctx, home, p.id, borrowing)
+	loan, err := manager.lenders.Borrow(ctx, home, p.id, borrowing)
 	var spent *SpentError
 	var held *HeldError
 	switch {
 	case err == nil:
-		keeper.borrowed.Inc(1)
+		manager.borrowed.Inc(1)
 		turn.Part = loan.Promised
-		return &Reservation{keeper: keeper, program: p, turn: turn, total: borrowing.Total, home: home, loan: loan.ID, places: loan.Places}, nil
+		return &Reservation{manager: manager, program: p, turn: turn, total: borrowing.Total, home: home, loan: loan.ID, locations: loan.Places}, nil
 	case errors.As(err, &spent):
-		keeper.foundSpent(p, turn)
+		manager.countSpent(p, turn)
 		return nil, err
 	case errors.As(err, &held):
-		keeper.held.Inc(1)
+		manager.held.Inc(1)
 		return nil, err
 	}
-	// A home that cannot be asked leaves its account as it is; one of this
-	// instance's own may still be granted something.
-	keeper.log.Info("home of a program cannot be asked", "program", p.id, "home", home, "err", err)
+	// An unreachable home keeps its account unchanged. An account of this
+	// instance may still be granted the remaining tokens.
+	manager.log.Info("loan request to the home failed; granting from a local account", "program", p.id, "home", home, "err", err)
 	return nil, nil
 }
 
-// Lend sets a part of a program's budget aside for another instance, as
-// Reserve does for this one, until Repaid, or until loanLifetime has passed:
-// then they count as spent. It returns a *StoppedError while the instance
-// stops, since what it gave back must not be granted again.
-func (keeper *Keeper) Lend(ctx context.Context, id string, borrowing Borrowing) (Loan, error) {
-	if keeper.loans.isStopped() {
+// Lend reserves tokens of a program's budget for another instance, as Reserve
+// does for this one, until Repaid is called for the loan or loanLifetime has
+// passed, after which the tokens count as spent. It returns a *StoppedError
+// while the instance stops, since tokens that it released must not be granted
+// again, and otherwise the errors of Reserve.
+func (manager *Keeper) Lend(ctx context.Context, id string, borrowing Borrowing) (Loan, error) {
+	if manager.loans.isStopped() {
 		return Loan{}, &StoppedError{}
 	}
-	p := keeper.program(id, borrowing.Total)
-	defer keeper.done(p)
+	p := manager.program(id, borrowing.Total)
+	defer manager.unpin(p)
 	turn, covered := borrowing.Turn, int64(0)
 	if turn.Rest {
-		// Nothing is if its turn began elsewhere.
-		covered = keeper.loans.covered(borrowing.Loan)
+		// covered is 0 if the turn did not begin here.
+		covered = manager.loans.covered(borrowing.Loan)
 		turn.Most = max(0, turn.Part-covered)
 	}
-	reservation, err := keeper.reserve(ctx, p, turn, borrowing.Total, borrowing.Parts)
+	reservation, err := manager.reserveLocally(ctx, p, turn, borrowing.Total, borrowing.Parts)
 	if err != nil {
 		return Loan{}, err
 	}
-	if keeper.loans.isStopped() {
-		// All was given back while it waited: this has to follow.
+	if manager.loans.isStopped() {
+		// Stop released all unused tokens while this request waited, so this
+		// grant has to be released as well.
 		reservation.Settle(0)
-		if err := keeper.GiveBack(ctx, id); err != nil {
-			keeper.log.Warn("budget granted while stopping not given back", "program", id, "err", err)
+		if err := manager.GiveBack(ctx, id); err != nil {
+			manager.log.Warn("tokens granted while stopping not released: they count as spent", "program", id, "err", err)
 		}
 		return Loan{}, &StoppedError{}
 	}
-	keeper.lent.Inc(1)
+	manager.lent.Inc(1)
 	covered += reservation.turn.Most - reservation.turn.Part
-	return Loan{ID: keeper.loans.give(reservation, covered, keeper.clock.Now()), Promised: reservation.turn.Part, Places: reservation.places}, nil
+	return Loan{ID: manager.loans.add(reservation, covered, manager.clock.Now()), Promised: reservation.turn.Part, Places: reservation.locations}, nil
 }
 
-// StoppedError is a loan asked of an instance that stops.
+// StoppedError is returned for a loan request to an instance that is stopping.
 type StoppedError struct{}
 
-// Error says so.
-func (e *StoppedError) Error() string { return "the instance stops" }
+// Error returns a fixed message.
+func (e *StoppedError) Error() string { return "the instance is stopping" }
 
-// Repaid settles loans given here. Unknown ones were settled before.
-func (keeper *Keeper) Repaid(repayments []Repayment) {
+// Repaid settles loans granted here. It ignores unknown loans, which were
+// settled before.
+func (manager *Keeper) Repaid(repayments []Repayment) {
 	for _, repayment := range repayments {
-		if reservation := keeper.loans.take(repayment.Loan); reservation != nil {
+		if reservation := manager.loans.remove(repayment.Loan); reservation != nil {
 			reservation.KeptAt(repayment.Place)
 			reservation.Settle(max(repayment.Spent, 0))
 		}
 	}
 }
 
-// expireLoans settles the loans that were not repaid in time as spent.
-func (keeper *Keeper) expireLoans() {
-	for _, reservation := range keeper.loans.expired(keeper.clock.Now()) {
-		keeper.log.Info("loan not repaid: counted as spent", "program", reservation.program.id, "tokens", reservation.turn.Part)
+// settleExpiredLoans settles the loans that were not repaid within
+// loanLifetime as fully spent.
+func (manager *Keeper) settleExpiredLoans() {
+	for _, reservation := range manager.loans.expired(manager.clock.Now()) {
+		manager.log.Info("loan expired without repayment: counted as spent", "program", reservation.program.id, "tokens", reservation.turn.Part)
 		reservation.Settle(reservation.turn.Part)
 	}
 }
 
-// Repay tells the homes of programs what was spent of loans, until ctx ends;
-// then it tells what is due still, and reports on done.
-func (keeper *Keeper) Repay(ctx context.Context, done chan<- error) {
+// Repay sends repayments to the homes of programs until ctx ends. It then
+// sends those that are still pending, and nil on done.
+func (manager *Keeper) Repay(ctx context.Context, done chan<- error) {
 	for {
 		select {
 		case <-ctx.Done():
-		case <-keeper.loans.wake:
+		case <-manager.loans.wake:
 			clock.Sleep(ctx, repayInterval)
 		}
-		keeper.repayDue(context.WithoutCancel(ctx))
+		manager.sendRepayments(context.WithoutCancel(ctx))
 		if ctx.Err() != nil {
 			done <- nil
 			return
@@ -218,99 +230,109 @@
 	}
 }
 
-// repayDue tells the homes what is due.
-func (keeper *Keeper) repayDue(ctx context.Context) {
+// sendRepayments sends the pending repayments to all homes concurrently.
+func (manager *Keeper) sendRepayments(ctx context.Context) {
 	var calls sync.WaitGroup
-	for home, repayments := range keeper.loans.takeDue() {
+	for home, repayments := range manager.loans.takePending() {
 		calls.Go(func() {
 			limited, cancel := context.WithTimeout(ctx, repayTimeout)
 			defer cancel()
-			if err := keeper.lenders.Repay(limited, home, repayments); err != nil {
-				keeper.log.Info("loans not repaid", "home", home, "loans", len(repayments), "err", err)
+			if err := manager.lenders.Repay(limited, home, repayments); err != nil {
+				manager.log.Info("repayments not delivered: the loans count as spent", "home", home, "loans", len(repayments), "err", err)
 			}
 		})
 	}
 	calls.Wait()
 }
 
-func (loans *loans) give(reservation *Reservation, covered int64, now time.Time) uint64 {
+// add records a loan and returns its ID.
+func (loans *loans) add(reservation *Reservation, covered int64, now time.Time) uint64 {
 	loans.mu.Lock()
 	defer loans.mu.Unlock()
-	loans.last++
-	loans.given[loans.last] = givenLoan{reservation: reservation, at: now, covered: covered}
-	return loans.last
+	loans.lastID++
+	loans.granted[loans.lastID] = grantedLoan{reservation: reservation, grantedAt: now, covered: covered}
+	return loans.lastID
 }
 
-// covered returns what the turn of a loan may ask for beside it that the account
-// has counted; 0 for a loan that is not from here.
+// covered returns the number of tokens that the turn of a loan may still
+// request beyond the loan and that the account has already counted, and 0 for
+// a loan that was not granted here.
 func (loans *loans) covered(id uint64) int64 {
 	loans.mu.Lock()
 	defer loans.mu.Unlock()
-	return loans.given[id].covered
+	return loans.granted[id].covered
 }
 
-// outstanding returns how many loans are not repaid, and how many tokens more
-// their turns may ask for.
-func (loans *loans) outstanding() (count int, rest int64) {
+// outstanding returns the number of unrepaid loans, and the number of tokens
+// that their turns may still request beyond them.
+func (loans *loans) outstanding() (count int, remaining int64) {
 	loans.mu.Lock()
 	defer loans.mu.Unlock()
-	for _, given := range loans.given {
-		rest += given.covered
+	for _, granted := range loans.granted {
+		remaining += granted.covered
 	}
-	return len(loans.given), rest
+	return len(loans.granted), remaining
 }
 
-func (loans *loans) take(id uint64) *Reservation {
+// remove removes a loan and returns its reservation, or nil if there is no
+// such loan.
+func (loans *loans) remove(id uint64) *Reservation {
 	loans.mu.Lock()
 	defer loans.mu.Unlock()
-	given := loans.given[id]
-	delete(loans.given, id)
-	return given.reservation
+	granted := loans.granted[id]
+	delete(loans.granted, id)
+	return granted.reservation
 }
 
+// expired removes the loans older than loanLifetime and returns their
+// reservations.
 func (loans *loans) expired(now time.Time) []*Reservation {
 	loans.mu.Lock()
 	defer loans.mu.Unlock()
 	var expired []*Reservation
-	for id, given := range loans.given {
-		if now.Sub(given.at) >= loanLifetime {
-			expired = append(expired, given.reservation)
-			delete(loans.given, id)
+	for id, granted := range loans.granted {
+		if now.Sub(granted.grantedAt) >= loanLifetime {
+			expired = append(expired, granted.reservation)
+			delete(loans.granted, id)
 		}
 	}
 	return expired
 }
 
-// repay notes a repayment that is due. It reports whether there was room.
-func (loans *loans) repay(home string, repayment Repayment) bool {
+// enqueue adds a repayment to the pending ones. It reports false if there are
+// maxPendingRepayments already.
+func (loans *loans) enqueue(home string, repayment Repayment) bool {
 	loans.mu.Lock()
 	defer loans.mu.Unlock()
-	if loans.count >= maxRepayments {
+	if loans.pendingCount >= maxPendingRepayments {
 		return false
 	}
-	loans.count++
-	loans.due[home] = append(loans.due[home], repayment)
+	loans.pendingCount++
+	loans.pending[home] = append(loans.pending[home], repayment)
 	select {
 	case loans.wake <- struct{}{}:
-	default: // woken already
+	default: // a wake-up is pending already
 	}
 	return true
 }
 
-func (loans *loans) takeDue() map[string][]Repayment {
+// takePending returns the pending repayments by home and removes them.
+func (loans *loans) takePending() map[string][]Repayment {
 	loans.mu.Lock()
 	defer loans.mu.Unlock()
-	due := loans.due
-	loans.due, loans.count = map[string][]Repayment{}, 0
-	return due
+	pending := loans.pending
+	loans.pending, loans.pendingCount = map[string][]Repayment{}, 0
+	return pending
 }
 
+// stop makes Lend refuse loans from now on.
 func (loans *loans) stop() {
 	loans.mu.Lock()
 	defer loans.mu.Unlock()
 	loans.stopped = true
 }
 
+// isStopped reports whether stop was called.
 func (loans *loans) isStopped() bool {
 	loans.mu.Lock()
 	defer loans.mu.Unlock()
--- /dev/null
+++ b/account/manager.go
@@ -0,0 +1,178 @@
+package account
+
+import (
+	"context"
+	"fmt"
+	"log/slog"
+	"sync"
+	"time"
+
+	"github.com/uber-go/tally/v4"
+
+	"github.com/wagtaildrum/wagtaildrum/budget"
+	"github.com/wagtaildrum/wagtaildrum/clock"
+	"github.com/wagtaildrum/wagtaildrum/store"
+)
+
+// rowWaitTimeout bounds the wait for a program's row before the turn begins
+// with a partial grant. The store responds in 4 ms, and in about 20 ms when
+// many instances write at once. Without the timeout, turns waited up to a
+// second before they began during a store outage.
+const rowWaitTimeout = 150 * time.Millisecond
+
+// Holders reaches the instances that own accounts of programs.
+type Holders interface {
+	// GiveBack requests the owners of the named accounts of a program to
+	// release the tokens they do not use. It returns once each has done so or
+	// cannot be reached.
+	GiveBack(ctx context.Context, program string, accounts []string)
+	// Gone reports whether the incarnation that owns an account is known to
+	// have terminated for good.
+	Gone(account string) bool
+}
+
+// Keeper manages the budgets of the programs whose turns come through this
+// instance. It is safe for concurrent use.
+type Keeper struct {
+	store store.Store
+	// owner is the unique name of this incarnation and the prefix of the names
+	// of its accounts.
+	owner   string
+	holders Holders
+	lenders Lenders
+	loans   *loans
+	escrows escrows
+	clock   clock.Clock
+	log     *slog.Logger
+
+	granted, spent, held, released, failed, borrowed, lent tally.Counter
+
+	mu       sync.Mutex
+	programs map[string]*program // by ID
+	accounts uint64              // number of the last account named
+}
+
+// NewKeeper returns a Keeper over s. The owner must be unique among all
+// incarnations of all instances; accounts are named OWNER.NUMBER.
+func NewKeeper(s store.Store, owner string, holders Holders, lenders Lenders, clk clock.Clock, log *slog.Logger, scope tally.Scope) *Keeper {
+	return &Keeper{store: s, owner: owner, holders: holders, lenders: lenders, loans: newLoans(), clock: clk, log: log, programs: map[string]*program{},
+		borrowed: scope.Counter("budget_borrowed"), lent: scope.Counter("budget_lent"),
+		granted: scope.Counter("budget_grants"), spent: scope.Counter("budget_spent"), held: scope.Counter("budget_held"),
+		released: scope.Counter("budget_releases"), failed: scope.Counter("budget_write_failures")}
+}
+
+// Reserve reserves up to turn tokens of the program's budget of total tokens
+// for a turn. The grant is partial if no row can be written and only the
+// escrow of the program's home can grant tokens; Extend then requests the
+// remainder. segments names the segments of the turn's prompt whose cache
+// locations are requested. Reserve returns a *SpentError if the budget is too
+// small for the turn, a *HeldError if other instances may still release enough
+// of it, or the store's *store.Error. After an error nothing is reserved.
+func (manager *Keeper) Reserve(ctx context.Context, id string, turn, total int64, segments ...string) (*Reservation, error) {
+	p := manager.program(id, total)
+	defer manager.unpin(p)
+	fullTurn := budget.Whole(turn)
+	if reservation := manager.reserveGranted(p, fullTurn, total, segments); reservation != nil {
+		return reservation, nil
+	}
+	if manager.foundSpentRecently(p, turn) {
+		manager.spent.Inc(1)
+		return nil, &SpentError{program: id, used: p.used(), total: total}
+	}
+	borrowing := Borrowing{Turn: fullTurn, Total: total, Parts: segments}
+	if reservation, err := manager.borrow(ctx, p, borrowing); reservation != nil || err != nil {
+		return reservation, err
+	}
+	return manager.reserveLocally(ctx, p, fullTurn, total, segments)
+}
+
+// reserveGranted reserves the turn if the local account already grants it,
+// without a write. It returns nil otherwise.
+func (manager *Keeper) reserveGranted(p *program, turn budget.Turn, total int64, segments []string) *Reservation {
+	if decision, _ := p.begin(turn, total); decision != budget.DecisionServe {
+		return nil
+	}
+	return manager.reservation(p, turn, total, segments)
+}
+
+// reservation returns the Reservation of a turn that has begun on the local
+// account.
+func (manager *Keeper) reservation(p *program, turn budget.Turn, total int64, segments []string) *Reservation {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return &Reservation{manager: manager, program: p, turn: turn, total: total, Version: p.usage.Version(), locations: p.locations.forSegments(segments)}
+}
+
+// reserveLocally reserves the turn on the local account, without a loan.
+func (manager *Keeper) reserveLocally(ctx context.Context, p *program, turn budget.Turn, total int64, segments []string) (*Reservation, error) {
+	if reservation := manager.reserveGranted(p, turn, total, segments); reservation != nil {
+		return reservation, nil
+	}
+	if !turn.Rest && manager.foundSpentRecently(p, turn.Most) {
+		manager.spent.Inc(1)
+		return nil, &SpentError{program: p.id, used: p.used(), total: total}
+	}
+	if !turn.Rest && p.hasEscrow() {
+		return manager.reserveFromEscrow(ctx, p, turn, total, segments)
+	}
+	granted, err := manager.grant(ctx, p, turn, total)
+	if err != nil {
+		return nil, err
+	}
+	return manager.reservation(p, granted, total, segments), nil
+}
+
+// reserveFromEscrow reserves a turn that exceeds what the local escrow grants:
+// by a row or, while no row can be written, by a partial grant of the escrow.
+// A turn is granted in full as long as the store responds. With a partial
+// grant, an instance that cannot reach this one could grant the remainder to
+// another turn by a row, and a stream would break off in the middle.
+func (manager *Keeper) reserveFromEscrow(ctx context.Context, p *program, turn budget.Turn, total int64, segments []string) (*Reservation, error) {
+	if err := manager.writeGrant(ctx, p, turn, total); store.Unserved(err) {
+		if reservation := manager.reserveGranted(p, budget.FirstPart(turn.Most), total, segments); reservation != nil {
+			return reservation, nil
+		}
+	}
+	granted, err := manager.grant(ctx, p, turn, total)
+	if err != nil {
+		return nil, err
+	}
+	return manager.reservation(p, granted, total, segments), nil
+}
+
+// program returns the state of a program, which it creates if there is none,
+// and pins it until unpin.
+func (manager *Keeper) program(id string, total int64) *program {
+	manager.mu.Lock()
+	defer manager.mu.Unlock()
+	p, ok := manager.programs[id]
+	if !ok {
+		account, escrowed := manager.escrows.account(id)
+		if !escrowed {
+			// An account belongs to a single budget.Usage: one that is created
+			// later does not know what an earlier one granted.
+			manager.accounts++
+			account = fmt.Sprintf("%s.%d", manager.owner, manager.accounts)
+		}
+		implied, version := manager.implied(id, account, total)
+		p = newProgram(id, account, total, implied, version)
+		manager.programs[id] = p
+	}
+	p.pins++
+	p.touch(manager.clock.Now())
+	return p
+}
+
+// unpin ends one use of a program's state, so that Sweep may evict it.
+func (manager *Keeper) unpin(p *program) {
+	manager.mu.Lock()
+	defer manager.mu.Unlock()
+	p.pins--
+}
+
+// Len returns the number of programs with state in memory.
+func (manager *Keeper) Len() int {
+	manager.mu.Lock()
+	defer manager.mu.Unlock()
+	return len(manager.programs)
+}
--- a/account/program.go
+++ b/account/program.go
@@ -9,60 +9,63 @@
 	"github.com/wagtaildrum/wagtaildrum/store"
 )
 
-// program is one program's budget here. Whoever reads or writes its row holds
-// the token in row; mu is held only while usage is looked at, so that a turn that
-// ends never waits for the store.
+// program is the state of one program's budget at this instance. rowLock is
+// held while the program's row is read or written. mu is held only while the
+// fields below it are accessed, so that a turn that ends never waits for the
+// store.
 type program struct {
-	id    string
-	total int64 // the budget
-	row   chan struct{}
-	turns int // guarded by Keeper.mu
+	id      string
+	total   int64 // the budget in tokens
+	rowLock chan struct{}
+	pins    int // calls in progress that use the program; guarded by Keeper.mu
 
 	mu    sync.Mutex
 	usage *budget.Usage
-	// implied is the version of its shard's escrow that the usage was told of,
+	// implied is the version of the shard's escrow on which usage is based
 	// while the program has no row.
 	implied uint64
-	// escrowRead is when its shard's escrow was last read for the program.
-	escrowRead time.Time
-	last       time.Time
-	// spent is when the budget was last found spent, for a turn of spentFor
-	// tokens.
-	spent    time.Time
-	spentFor int64
-	places   places
-}
-
-// newProgram returns a program whose budget is total. Most programs begin
-// here: the usage starts without a row, with the account that the escrow of its
-// shard implies, and a first row is written on the condition that there is none
-// and that its shard has the same escrow as then.
+	// shardReadAt is when the shard's escrow was last read for the program.
+	shardReadAt time.Time
+	lastUsed    time.Time
+	// spentAt is when the budget was last found spent, and spentTokens the
+	// size of the turn that it was too small for.
+	spentAt     time.Time
+	spentTokens int64
+	locations   locations
+}
+
+// newProgram returns the state of a program whose budget is total. Most
+// programs begin at their home, so usage starts without a row, with the
+// account that the escrow of the program's shard implies. The first row is
+// written on the condition that none exists and that the shard's escrow is
+// still at version.
 func newProgram(id, account string, total int64, implied *budget.Ledger, version uint64) *program {
-	return &program{id: id, total: total, row: make(chan struct{}, 1), usage: budget.NewUsage(account, implied, 0), implied: version}
+	return &program{id: id, total: total, rowLock: make(chan struct{}, 1), usage: budget.NewUsage(account, implied, 0), implied: version}
 }
 
-// touch notes a turn: until one that was borrowed ends, nothing else tells that
-// the program is not at rest.
+// touch records the time of a turn. Until a turn on a loan ends, nothing else
+// in the state marks the program as in use.
 func (p *program) touch(now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.last = now
+	p.lastUsed = now
 }
 
-// lockRow waits until no other turn reads or writes the program's row.
+// lockRow acquires rowLock. It returns a *store.Error if ctx ends first.
 func (p *program) lockRow(ctx context.Context) error {
 	select {
-	case p.row <- struct{}{}:
+	case p.rowLock <- struct{}{}:
 		return nil
 	case <-ctx.Done():
-		return store.NewError(store.FailureUnreachable, "budget", "gave up waiting for another turn's write")
+		return store.NewError(store.FailureUnreachable, "budget", "timed out waiting for another turn's read or write of the row")
 	}
 }
 
-func (p *program) unlockRow() { <-p.row }
+// unlockRow releases rowLock.
+func (p *program) unlockRow() { <-p.rowLock }
 
-// begin promises the turn if the usage grants it already. For DecisionGrant it
-// returns the row that would.
+// begin begins the turn if the usage already grants it. For DecisionGrant it
+// returns the row that would grant the turn.
 func (p *program) begin(turn budget.Turn, total int64) (budget.Decision, *budget.Ledger) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -73,21 +76,22 @@
 	return decision, ledger
 }
 
-// decide returns what may happen to a turn, and for DecisionGrant the row that
-// would grant it.
+// decide returns the decision on a turn without beginning it and, for
+// DecisionGrant, the row that would grant the turn.
 func (p *program) decide(turn budget.Turn, total int64) (budget.Decision, *budget.Ledger) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.usage.Decide(turn, total)
 }
 
-// conditions returns those under which the program's row may be written: it
-// is the one known here, and if there is none, escrow is not nil: the account
-// that it begins with is the one that its shard's escrow implies.
+// conditions returns the conditions for a write of the program's row: row
+// requires that the row is at the recorded version. escrow, nil unless there
+// is no row yet, requires that the escrow of the shard, which implies the
+// program's account, is unchanged.
 func (p *program) conditions() (row store.Condition, escrow *store.Condition) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	k := key(p.id)
+	k := rowKey(p.id)
 	row = store.Condition{Key: k, Version: p.usage.Version()}
 	if row.Version == 0 {
 		escrow = &store.Condition{Key: shardKeys[budget.Shard(p.id)], Version: p.implied}
@@ -95,9 +99,9 @@
 	return row, escrow
 }
 
-// imply takes in the ledger that the escrow of its shard implies at a version, if
-// the program has no row.
-func (p *program) imply(ledger *budget.Ledger, version uint64) {
+// adoptImplied records the ledger that the escrow of the program's shard
+// implies at version, unless the program has a row.
+func (p *program) adoptImplied(ledger *budget.Ledger, version uint64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.usage.Version() == 0 {
@@ -106,22 +110,23 @@
 	}
 }
 
-// unusedEscrows returns the accounts that are disowned once their escrow is found
-// released, and the row's version; none if that was looked for just now.
+// unusedEscrows returns the accounts that can be removed once their escrow is
+// found released, and the row's version. It returns no accounts if it did so
+// within minShardReadInterval.
 func (p *program) unusedEscrows(now time.Time) ([]string, uint64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	version := p.usage.Version()
-	if version == 0 || now.Sub(p.escrowRead) < escrowLook {
+	if version == 0 || now.Sub(p.shardReadAt) < minShardReadInterval {
 		return nil, version
 	}
-	p.escrowRead = now
+	p.shardReadAt = now
 	return p.usage.UnusedEscrows(), version
 }
 
-// disown leaves out the account of an escrow that handed out nothing, if the row
-// is at the version at which that was found.
-func (p *program) disown(name string, version uint64) {
+// removeEscrow removes the account of an escrow that granted nothing, if the
+// row is still at the version at which that was found.
+func (p *program) removeEscrow(name string, version uint64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.usage.Version() == version {
@@ -129,70 +134,74 @@
 	}
 }
 
-// besideEscrow reports whether a program's first turn here waits for what only
-// the instance of an escrow holds, which may be gone for good. It then begins
-// with a part: after a loss of power of all instances, programs of one turn that
-// may generate more than is left would all be refused, and one in ten of them
-// breaks off so. Later turns wait: a stream that breaks off costs the caller
-// more than a refusal.
-func (p *program) besideEscrow() bool {
+// mayBeginPartially reports whether the program's first turn here may begin
+// with a partial grant although the remaining tokens are held only by the
+// incarnation of an escrow, which may have crashed. After a power loss of all
+// instances, every program with a single turn that may generate more than the
+// remaining tokens would otherwise be refused; with partial grants one in ten
+// of these streams breaks off. Later turns wait, since a broken stream costs
+// the caller more than a refusal.
+func (p *program) mayBeginPartially() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.usage.Alone() && p.usage.Used() == 0
 }
 
-// escrowed reports whether turns may begin with a part by this instance's
-// escrow.
-func (p *program) escrowed() bool {
+// hasEscrow reports whether turns may begin with a partial grant of this
+// instance's escrow.
+func (p *program) hasEscrow() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.usage.Escrowed()
 }
 
-// heldByOthers reports whether other accounts may have something to give back.
+// heldByOthers reports whether other accounts are granted tokens that they may
+// release.
 func (p *program) heldByOthers() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return len(p.usage.Holders()) > 0
 }
 
-// holders describes what all accounts hold, for logs.
+// holders describes the tokens of all accounts, for logs and errors.
 func (p *program) holders() string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.usage.String()
 }
 
+// used returns the tokens that turns here spent or are granted.
 func (p *program) used() int64 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.usage.Used()
 }
 
-func (p *program) written(ledger *budget.Ledger, version uint64) {
+// adoptWritten records that the program's row is ledger at version.
+func (p *program) adoptWritten(ledger *budget.Ledger, version uint64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.usage.Written(ledger, version)
 }
 
-// unanswered notes that a row was sent and not answered.
-func (p *program) unanswered() {
+// markUnanswered records that the store did not respond to the write of a row.
+func (p *program) markUnanswered() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.usage.Unanswered()
 }
 
-// release returns the row that gives back what is not used; last if the
-// instance stops.
-func (p *program) release(last bool) *budget.Ledger {
+// releaseUnused returns the row that releases the unused tokens, or nil if
+// there are none. stopping is set when the instance stops.
+func (p *program) releaseUnused(stopping bool) *budget.Ledger {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.usage.Release(last)
+	return p.usage.Release(stopping)
 }
 
-// noteSpent notes that the budget does not hold a turn.
-func (p *program) noteSpent(now time.Time, turn int64) {
+// recordSpent records that the budget is too small for a turn.
+func (p *program) recordSpent(now time.Time, turn int64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.spent, p.spentFor = now, turn
+	p.spentAt, p.spentTokens = now, turn
 }
--- a/account/release_test.go
+++ b/account/release_test.go
@@ -18,23 +18,24 @@
 	"github.com/wagtaildrum/wagtaildrum/store/storetest"
 )
 
-// Guards against programs that are refused for what their own home holds: its
-// escrow stands in the store, but could not be used when they began.
-func TestEscrowNotUsedYetHoldsNothing(t *testing.T) {
+// Guards against programs that are refused because of tokens held by their own
+// home's escrow, which is in the store but was not usable yet when they
+// started.
+func TestUnusableEscrowHoldsNothing(t *testing.T) {
 	ctx := context.Background()
 	memory := storetest.New()
-	site := &machines{store: memory, clock: clock.Real{}}
-	a := site.start("a")
+	cluster := &testCluster{store: memory, clock: clock.Real{}}
+	a := cluster.start("a")
 	memory.SetFault(func(op, _ string) storetest.Fault {
 		if op == "read" {
 			return storetest.Refuse
 		}
 		return storetest.None
 	})
-	require.Error(t, a.AcquireOnce(ctx, a, false), "which programs have rows is not known")
-	memory.SetFault(served)
+	require.Error(t, a.AcquireOnce(ctx, a, false), "the programs that have rows cannot be read")
+	memory.SetFault(storeServes)
 	for turn := range 2 {
-		reservation, err := whole(ctx, a.Keeper, "p", 567, 1134)
+		reservation, err := reserveInFull(ctx, a.Keeper, "p", 567, 1134)
 		require.NoError(t, err, "turn %d", turn)
 		reservation.Settle(567)
 	}
@@ -42,82 +43,84 @@
 	assert.Len(t, ledger.Accounts, 1)
 	assert.LessOrEqual(t, sum.Granted, int64(1134))
 	single, err := a.Reserve(ctx, "single", 567, 600)
-	require.NoError(t, err, "a program of one turn")
+	require.NoError(t, err, "a program with one turn")
 	assert.EqualValues(t, 567, single.Promised())
 }
 
-// Guards against programs that are refused for what the escrow of an instance
-// holds that never saw them: they began elsewhere, and it was asked.
-func TestEscrowOfProgramNotKnownIsGivenBack(t *testing.T) {
+// Guards against programs that are refused because of tokens held by the
+// escrow of an instance that never served them. They started at another
+// instance, which requests the release.
+func TestEscrowOfUnknownProgramIsReleased(t *testing.T) {
 	ctx := context.Background()
 	memory := storetest.New()
-	site := &machines{store: memory, clock: clock.Real{}}
-	a, b := site.start("a"), site.start("b") // each its own home
+	cluster := &testCluster{store: memory, clock: clock.Real{}}
+	a, b := cluster.start("a"), cluster.start("b") // each is the home in its own member list
 	a.acquire(t)
 	for turn := range 2 {
-		reservation, err := whole(ctx, b.Keeper, "p", 567, 1134)
+		reservation, err := reserveInFull(ctx, b.Keeper, "p", 567, 1134)
 		require.NoError(t, err, "turn %d", turn)
 		reservation.Settle(567)
 	}
 	var spent *account.SpentError
 	_, err := a.Reserve(ctx, "p", 100, 1134)
-	require.ErrorAs(t, err, &spent, "it was given back")
-	_, err = whole(ctx, a.Keeper, "p", 1, 1134)
+	require.ErrorAs(t, err, &spent, "the escrow's account was released")
+	_, err = reserveInFull(ctx, a.Keeper, "p", 1, 1134)
 	require.ErrorAs(t, err, &spent)
 }
 
-// Guards against a count that is lost: what the escrow handed out of a program
-// that its home forgot is not given back when another instance asks.
-func TestEscrowOfForgottenProgramIsNotGivenBack(t *testing.T) {
+// Guards against lost usage: the home granted tokens of a program by escrow
+// and then evicted the program. The escrow's account must not be released at
+// another instance's request.
+func TestEscrowOfEvictedProgramIsNotReleased(t *testing.T) {
 	ctx := context.Background()
 	memory := storetest.New()
 	clk := clock.NewFake(time.Unix(1000, 0))
-	site := &machines{store: memory, clock: clk}
-	a, b := site.start("a"), site.start("b")
+	cluster := &testCluster{store: memory, clock: clk}
+	a, b := cluster.start("a"), cluster.start("b")
 	a.acquire(t)
-	reservation, err := whole(ctx, a.Keeper, "p", 300, 1000)
+	reservation, err := reserveInFull(ctx, a.Keeper, "p", 300, 1000)
 	require.NoError(t, err)
 	reservation.Settle(300)
 	clk.Advance(3 * time.Minute)
 	a.SweepOnce(ctx)
 	require.Zero(t, a.Len())
-	_, err = whole(ctx, b.Keeper, "p", 701, 1000)
+	_, err = reserveInFull(ctx, b.Keeper, "p", 701, 1000)
 	require.Error(t, err)
-	_, err = whole(ctx, b.Keeper, "p", 700, 1000)
+	_, err = reserveInFull(ctx, b.Keeper, "p", 700, 1000)
 	require.NoError(t, err)
 }
 
-// Guards against budget that is lost in a planned stop: programs that began
-// elsewhere were told to count the escrow of an instance that released it.
+// Guards against budget lost in a planned stop: programs that started
+// elsewhere still counted the escrow of an instance that had released it.
 func TestReleasedEscrowHoldsNothing(t *testing.T) {
 	ctx := context.Background()
 	memory := storetest.New()
-	site := &machines{store: memory, clock: clock.Real{}, knowsStarts: true}
-	a, b := site.start("a"), site.start("b")
+	cluster := &testCluster{store: memory, clock: clock.Real{}, detectsReplacement: true}
+	a, b := cluster.start("a"), cluster.start("b")
 	a.acquire(t)
-	first, err := whole(ctx, b.Keeper, "p", 567, 1134)
+	first, err := reserveInFull(ctx, b.Keeper, "p", 567, 1134)
 	require.NoError(t, err)
 	first.Settle(567)
-	used, err := whole(ctx, a.Keeper, "used", 300, 1000)
+	used, err := reserveInFull(ctx, a.Keeper, "used", 300, 1000)
 	require.NoError(t, err)
 	used.Settle(300)
 	require.NoError(t, a.Stop(ctx))
 	a.up = false
-	site.start("a")
-	second, err := whole(ctx, b.Keeper, "p", 567, 1134)
+	cluster.start("a")
+	second, err := reserveInFull(ctx, b.Keeper, "p", 567, 1134)
 	require.NoError(t, err)
 	second.Settle(567)
-	_, err = whole(ctx, b.Keeper, "used", 701, 1000)
-	require.Error(t, err, "what was handed out by escrow stays counted")
-	_, err = whole(ctx, b.Keeper, "used", 700, 1000)
+	_, err = reserveInFull(ctx, b.Keeper, "used", 701, 1000)
+	require.Error(t, err, "tokens granted by the escrow stay counted")
+	_, err = reserveInFull(ctx, b.Keeper, "used", 700, 1000)
 	require.NoError(t, err)
 }
 
-// apart refuses transactions over several partitions, as a store does that has
-// more of them waiting in any one than it takes.
-type apart struct{ store.Store }
+// singlePartitionStore rejects transactions over several partitions, as the
+// store does when one of them has too many transactions queued.
+type singlePartitionStore struct{ store.Store }
 
-func (s apart) Commit(ctx context.Context, tx store.Transaction) (uint64, error) {
+func (s singlePartitionStore) Commit(ctx context.Context, tx store.Transaction) (uint64, error) {
 	partitions := map[string]bool{}
 	for _, put := range tx.Puts {
 		partitions[put.Key.Partition] = true
@@ -128,40 +131,41 @@
 	return s.Store.Commit(ctx, tx)
 }
 
-// Guards against budgets that are lost in a planned stop while the store is slow:
-// one busy partition had it refuse all that the instance gives back.
-func TestStopGivesBackByPartition(t *testing.T) {
+// Guards against budgets lost in a planned stop while the store is slow: one
+// busy partition made it reject all releases of the instance.
+func TestStopReleasesByPartition(t *testing.T) {
 	ctx := context.Background()
 	memory := storetest.New()
-	site := &machines{store: apart{memory}, clock: clock.Real{}}
-	a := site.start("a")
+	cluster := &testCluster{store: singlePartitionStore{memory}, clock: clock.Real{}}
+	a := cluster.start("a")
 	a.acquire(t)
 	for n := range 60 {
-		turn, err := whole(ctx, a.Keeper, fmt.Sprint("p", n), 300, 1000)
+		turn, err := reserveInFull(ctx, a.Keeper, fmt.Sprint("p", n), 300, 1000)
 		require.NoError(t, err)
 		turn.Settle(100)
 	}
 	require.NoError(t, a.Stop(ctx))
 	a.up = false
-	b := site.start("b")
+	b := cluster.start("b")
 	b.acquire(t)
 	for n := range 60 {
-		_, err := whole(ctx, b.Keeper, fmt.Sprint("p", n), 900, 1000)
+		_, err := reserveInFull(ctx, b.Keeper, fmt.Sprint("p", n), 900, 1000)
 		assert.NoError(t, err, "program %d", n)
 	}
 }
 
-// Guards against shards whose escrow stands for ever, since one program could not be
-// given back as their instance stopped, and against the release of that program's.
-func TestStopReleasesShardsThatAreGivenBack(t *testing.T) {
+// Guards against shards whose escrow is never released because one program of
+// the stopping instance could not be released, and against the release of that
+// program's own shard.
+func TestStopReleasesShardsWithoutUnreleasedPrograms(t *testing.T) {
 	for _, refusals := range []int64{1, math.MaxInt64} {
 		ctx := context.Background()
 		memory := storetest.New()
-		site := &machines{store: apart{memory}, clock: clock.Real{}}
-		a := site.start("a")
+		cluster := &testCluster{store: singlePartitionStore{memory}, clock: clock.Real{}}
+		a := cluster.start("a")
 		a.acquire(t)
 		for n := range 60 {
-			turn, err := whole(ctx, a.Keeper, fmt.Sprint("p", n), 300, 1000)
+			turn, err := reserveInFull(ctx, a.Keeper, fmt.Sprint("p", n), 300, 1000)
 			require.NoError(t, err)
 			turn.Settle(300)
 		}
@@ -173,23 +177,23 @@
 			}
 			return storetest.None
 		})
-		var left *account.NotGivenBackError
+		var left *account.UnreleasedBudgetError
 		require.ErrorAs(t, a.Stop(ctx), &left)
 		a.up = false
-		memory.SetFault(served)
-		b := site.start("b")
+		memory.SetFault(storeServes)
+		b := cluster.start("b")
 		b.acquire(t)
-		memory.SetFault(away)
+		memory.SetFault(storeRefuses)
 		begun := 0
 		for n := 100; n < 200; n++ {
 			if _, err := b.Reserve(ctx, fmt.Sprint("p", n), 300, 1000); err == nil {
 				begun++
 			}
 		}
-		assert.GreaterOrEqual(t, begun, 90, "its next home begins programs by escrow")
-		memory.SetFault(served)
+		assert.GreaterOrEqual(t, begun, 90, "the next home starts programs by escrow")
+		memory.SetFault(storeServes)
 		for n := range 60 {
-			_, err := whole(ctx, b.Keeper, fmt.Sprint("p", n), 701, 1000)
+			_, err := reserveInFull(ctx, b.Keeper, fmt.Sprint("p", n), 701, 1000)
 			assert.Error(t, err, "program %d", n)
 		}
 	}
--- a/account/reservation.go
+++ b/account/reservation.go
@@ -8,117 +8,123 @@
 	"github.com/wagtaildrum/wagtaildrum/store"
 )
 
-// leastPart: one part in leastPart of what a turn may generate is the least
-// that it is given more. Each costs a call.
-const leastPart = 8
+// extensionDivisor sets the size of the smallest extension: Extend requests only
+// more than 1/extensionDivisor of the tokens that the turn may generate, since
+// each request costs a call.
+const extensionDivisor = 8
 
-// Reservation is a turn's part of a budget until Settle.
+// Reservation holds the tokens reserved for a turn until Settle.
 type Reservation struct {
-	keeper  *Keeper
+	manager *Keeper
 	program *program
-	// turn is what was promised so far, of total; next is the reservation of
-	// the rest if it is by another account.
-	turn  budget.Turn
-	total int64
-	next  *Reservation
-	// Version is the version of the row that grants the turn, 0 for a loan.
+	// turn holds the tokens granted so far, and total is the program's budget.
+	// remainder is the reservation of further tokens if another account grants
+	// them.
+	turn      budget.Turn
+	total     int64
+	remainder *Reservation
+	// Version is the version of the row that grants the turn, and 0 for a
+	// loan.
 	Version uint64
-	// home is the instance that lent the turn, loan its name for that; empty
-	// if the account is this instance's.
+	// home is the instance that granted the loan, and loan its ID there. home
+	// is empty if the local account grants the turn.
 	home string
 	loan uint64
-	// places are where parts of the turn's prompt are, as far as known;
-	// place is where the turn left its own.
-	places []Place
-	place  Place
+	// locations are the known cache locations of the segments of the turn's
+	// prompt. location is that of its own conversation after the turn.
+	locations []Place
+	location  Place
 }
 
-// Places returns where the parts of the turn's prompt that Reserve was asked
-// for were left by turns before it, through whichever instance.
-func (reservation *Reservation) Places() []Place { return reservation.places }
+// Places returns the cache locations of the prompt segments named to Reserve,
+// as recorded by earlier turns through any instance.
+func (reservation *Reservation) Places() []Place { return reservation.locations }
 
-// KeptAt notes where the turn left a part of its prompt, for Settle.
-func (reservation *Reservation) KeptAt(place Place) { reservation.place = place }
+// KeptAt sets the cache location of a segment of the turn's prompt, which
+// Settle records.
+func (reservation *Reservation) KeptAt(location Place) { reservation.location = location }
 
-// Home returns the instance whose account grants the turn; "" for this one.
+// Home returns the instance whose account grants the turn, or "" for this
+// instance.
 func (reservation *Reservation) Home() string { return reservation.home }
 
-// Promised returns how many tokens the turn may hand out.
+// Promised returns the number of tokens that the turn may spend so far.
 func (reservation *Reservation) Promised() int64 {
-	if reservation.next != nil {
-		return reservation.turn.Part + reservation.next.Promised()
+	if reservation.remainder != nil {
+		return reservation.turn.Part + reservation.remainder.Promised()
 	}
 	return reservation.turn.Part
 }
 
-// Extend promises the turn all that it may generate or, if that is not to be
-// had, a part of it. It returns the errors of Reserve; then what was promised
-// before stays.
+// Extend reserves the remainder of what the turn may generate or, if that is
+// not available, a part of it. It returns the errors of Reserve; what was
+// granted before stays reserved then.
 func (reservation *Reservation) Extend(ctx context.Context) error {
-	rest := reservation.turn.Most - reservation.Promised()
-	if rest <= 0 {
+	remaining := reservation.turn.Most - reservation.Promised()
+	if remaining <= 0 {
 		return nil
 	}
-	err := reservation.extend(ctx, rest)
-	// The account may hold less than the rest, which needs no call.
-	for part := rest / 2; mayHoldLess(err) && part > reservation.turn.Most/leastPart; part /= 2 {
+	err := reservation.extend(ctx, remaining)
+	// The account may grant less than the remainder, which then needs no call.
+	for part := remaining / 2; mayGrantLess(err) && part > reservation.turn.Most/extensionDivisor; part /= 2 {
 		err = reservation.extend(ctx, part)
 	}
 	return err
 }
 
-// mayHoldLess reports whether a smaller part may be had where one was not.
-func mayHoldLess(err error) bool {
+// mayGrantLess reports whether a smaller extension may succeed after err.
+func mayGrantLess(err error) bool {
 	var held *HeldError
 	var spent *SpentError
 	return errors.As(err, &held) || errors.As(err, &spent) || store.Unserved(err)
 }
 
-// extend promises the turn a part more.
+// extend reserves part more tokens for the turn.
 func (reservation *Reservation) extend(ctx context.Context, part int64) error {
-	keeper, p := reservation.keeper, reservation.program
-	if reservation.next != nil {
-		return reservation.next.extend(ctx, part)
+	manager, p := reservation.manager, reservation.program
+	if reservation.remainder != nil {
+		return reservation.remainder.extend(ctx, part)
 	}
 	if reservation.home == "" {
-		more := budget.Turn{Part: part, Most: max(0, reservation.turn.Part+part-reservation.turn.Most), Rest: true}
-		if _, err := keeper.grant(ctx, p, more, reservation.total); err != nil {
+		extension := budget.Turn{Part: part, Most: max(0, reservation.turn.Part+part-reservation.turn.Most), Rest: true}
+		if _, err := manager.grant(ctx, p, extension, reservation.total); err != nil {
 			return err
 		}
-		reservation.turn.Part += more.Part
-		reservation.turn.Most += more.Most
+		reservation.turn.Part += extension.Part
+		reservation.turn.Most += extension.Most
 		return nil
 	}
-	next, err := keeper.borrow(ctx, p, Borrowing{Turn: budget.Turn{Part: part, Rest: true}, Total: reservation.total, Loan: reservation.loan})
-	if next == nil && err == nil {
-		// The home cannot be asked: an account of this instance's own.
-		next, err = keeper.reserve(ctx, p, budget.Turn{Part: part, Most: part, Rest: true}, reservation.total, nil)
+	remainder, err := manager.borrow(ctx, p, Borrowing{Turn: budget.Turn{Part: part, Rest: true}, Total: reservation.total, Loan: reservation.loan})
+	if remainder == nil && err == nil {
+		// The home is unreachable: use an account of this instance.
+		remainder, err = manager.reserveLocally(ctx, p, budget.Turn{Part: part, Most: part, Rest: true}, reservation.total, nil)
 	}
 	if err != nil {
 		return err
 	}
-	reservation.next = next
+	reservation.remainder = remainder
 	return nil
 }
 
-// Settle ends the reservation: spent tokens were handed out.
+// Settle ends the reservation and records that the turn spent that many
+// tokens. The unused tokens may be granted again.
 func (reservation *Reservation) Settle(spent int64) {
-	keeper, p := reservation.keeper, reservation.program
-	if reservation.next != nil {
-		first := min(spent, reservation.turn.Part)
-		reservation.next.Settle(spent - first)
-		spent = first
+	manager, p := reservation.manager, reservation.program
+	if reservation.remainder != nil {
+		spentHere := min(spent, reservation.turn.Part)
+		reservation.remainder.Settle(spent - spentHere)
+		spent = spentHere
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if reservation.home != "" {
-		p.last = keeper.clock.Now()
-		if !keeper.loans.repay(reservation.home, Repayment{Loan: reservation.loan, Spent: spent, Place: reservation.place}) {
-			keeper.log.Warn("repayment dropped: the loan counts as spent", "program", p.id, "home", reservation.home)
+		p.lastUsed = manager.clock.Now()
+		if !manager.loans.enqueue(reservation.home, Repayment{Loan: reservation.loan, Spent: spent, Place: reservation.location}) {
+			manager.log.Warn("too many pending repayments: repayment dropped, the loan counts as spent", "program", p.id, "home", reservation.home)
 		}
 		return
 	}
 	p.usage.End(reservation.turn, spent)
-	p.places.note(reservation.place)
-	p.last = keeper.clock.Now()
+	p.locations.add(reservation.location)
+	p.lastUsed = manager.clock.Now()
 }
--- a/account/row.go
+++ b/account/row.go
@@ -9,114 +9,117 @@
 )
 
 const (
-	// table holds a row for each program.
-	table = "budget"
-	// partitions spread the programs, since one partition applies its
-	// transactions one after another: 300 a second, and five a second while
-	// the store is slow by a factor of 60. 48, besides those of the turns,
-	// then still carry 250, twice what a fleet of nine instances writes.
-	partitions = 48
+	// budgetTable holds one row for each program.
+	budgetTable = "budget"
+	// budgetPartitions spreads the programs over partitions, since the store
+	// applies the transactions of one partition in sequence: 300 a second, and
+	// five a second while it is slower by a factor of 60. Besides those of the
+	// turns, 48 partitions then still carry 250 a second, twice what a fleet
+	// of nine instances writes.
+	budgetPartitions = 48
 )
 
-// read takes in the program's row.
-func (keeper *Keeper) read(ctx context.Context, p *program) error {
-	row, err := store.Get(ctx, keeper.store, key(p.id))
+// readRow reads and records the program's row.
+func (manager *Keeper) readRow(ctx context.Context, p *program) error {
+	row, err := store.Get(ctx, manager.store, rowKey(p.id))
 	if err != nil {
 		return err
 	}
-	return keeper.adopt(p, row)
+	return manager.adoptRow(p, row)
 }
 
-// adopt takes in the program's row as read. If there is none, its account is
-// the one that the escrow of its shard implies.
-func (keeper *Keeper) adopt(p *program, row store.Row) error {
+// adoptRow records the program's row as read. If there is no row, the
+// program's only account is the one that the escrow of its shard implies.
+func (manager *Keeper) adoptRow(p *program, row store.Row) error {
 	if row.Version == 0 {
-		p.imply(keeper.implied(p.id, p.usage.Owner(), p.total))
+		p.adoptImplied(manager.implied(p.id, p.usage.Owner(), p.total))
 		return nil
 	}
 	ledger, err := budget.DecodeLedger(row.Value)
 	if err != nil {
 		return store.NewError(store.FailureInvalid, "budget", err.Error())
 	}
-	p.written(ledger, row.Version)
-	if escrow, _ := keeper.escrows.known(budget.Shard(p.id)); keeper.isOwn(escrow) {
-		p.disown(escrow.Account, row.Version)
+	p.adoptWritten(ledger, row.Version)
+	if escrow, _ := manager.escrows.get(budget.Shard(p.id)); manager.isLocal(escrow) {
+		p.removeEscrow(escrow.Account, row.Version)
 	}
 	return nil
 }
 
-// implied returns the ledger of a program that has no row, whose account here is
-// the one given, and the version of its shard's escrow. An escrow of this start
-// grants nothing to other accounts of it: a program that it handed something out
-// of has its account, or a row.
-func (keeper *Keeper) implied(id, account string, total int64) (*budget.Ledger, uint64) {
-	escrow, version := keeper.escrows.known(budget.Shard(id))
-	if keeper.isOwn(escrow) && escrow.Account != account {
+// implied returns the ledger of a program without a row and the version of its
+// shard's escrow. account is the program's account here. An escrow of this
+// incarnation grants nothing if that is another account: a program that was
+// granted tokens by the escrow uses its account here, or has a row.
+func (manager *Keeper) implied(id, account string, total int64) (*budget.Ledger, uint64) {
+	escrow, version := manager.escrows.get(budget.Shard(id))
+	if manager.isLocal(escrow) && escrow.Account != account {
 		escrow = budget.Escrow{}
 	}
 	return escrow.Implied(total), version
 }
 
-// write makes ledger the program's row. On a conflict the row that stands
-// is taken in.
-func (keeper *Keeper) write(ctx context.Context, p *program, ledger *budget.Ledger) error {
+// writeRow writes ledger as the program's row. On a conflict it records the
+// current row and returns the conflict.
+func (manager *Keeper) writeRow(ctx context.Context, p *program, ledger *budget.Ledger) error {
 	value, err := ledger.Encode()
 	if err != nil {
 		return store.NewError(store.FailureInvalid, "budget", err.Error())
 	}
-	k := key(p.id)
+	k := rowKey(p.id)
 	tx := store.Transaction{Puts: []store.Put{{Key: k, Value: value}}}
 	row, escrow := p.conditions()
 	tx.Conditions = append(tx.Conditions, row)
 	if escrow != nil {
 		tx.Conditions = append(tx.Conditions, *escrow)
 	}
-	version, err := keeper.store.Commit(ctx, tx)
+	version, err := manager.store.Commit(ctx, tx)
 	if err == nil {
-		p.written(ledger, version)
+		p.adoptWritten(ledger, version)
 		return nil
 	}
 	if store.Is(err, store.FailureUnanswered) {
-		p.unanswered()
-		keeper.log.Info("budget row may be written", "program", p.id, "version", row.Version, "row", ledger.String(), "err", err)
+		p.markUnanswered()
+		manager.log.Info("budget write not answered: the row may or may not be stored", "program", p.id, "version", row.Version, "row", ledger.String(), "err", err)
 	}
 	if se, ok := err.(*store.Error); ok && se.Failure() == store.FailureConflict {
-		if cerr := keeper.conflicted(ctx, p, se.Rows()); cerr != nil {
+		if cerr := manager.adoptConflict(ctx, p, se.Rows()); cerr != nil {
 			return cerr
 		}
 	}
 	return err
 }
 
-// conflicted takes in what stands in the way of p's row: another row, or
-// another escrow of its shard.
-func (keeper *Keeper) conflicted(ctx context.Context, p *program, rows []store.Row) error {
-	k, at := key(p.id), budget.Shard(p.id)
-	told := false
+// adoptConflict records what made the write of p's row fail: a newer row, or a
+// newer escrow of its shard.
+func (manager *Keeper) adoptConflict(ctx context.Context, p *program, rows []store.Row) error {
+	k, index := rowKey(p.id), budget.Shard(p.id)
+	shardUpdated := false
 	for _, row := range rows {
 		switch {
 		case row.Key == k && row.Version > 0:
-			return keeper.adopt(p, row)
-		case row.Key == shardKeys[at]:
-			if err := keeper.takeShard(at, row); err != nil {
+			return manager.adoptRow(p, row)
+		case row.Key == shardKeys[index]:
+			if err := manager.adoptShard(index, row); err != nil {
 				return err
 			}
-			told = true
+			shardUpdated = true
 		}
 	}
-	if told {
-		return keeper.adopt(p, store.Row{Key: k})
+	if shardUpdated {
+		return manager.adoptRow(p, store.Row{Key: k})
 	}
-	if err := keeper.readShard(ctx, at); err != nil {
+	if err := manager.readShard(ctx, index); err != nil {
 		return err
 	}
-	return keeper.read(ctx, p)
+	return manager.readRow(ctx, p)
 }
 
-// key returns the key of a program's row. IDs come from callers; a long one
-// is replaced by its hash.
-func key(id string) store.Key {
-	return store.Key{Table: table, Partition: partitionName(budget.Shard(id) % partitions), Name: store.Name(id)}
+// rowKey returns the key of a program's row. IDs come from callers; store.Name
+// replaces a long ID by its hash.
+func rowKey(id string) store.Key {
+	return store.Key{Table: budgetTable, Partition: partitionName(budget.Shard(id) % budgetPartitions), Name: store.Name(id)}
 }
 
+// partitionName returns the name of a partition of the budget and escrows
+// tables.
 func partitionName(number int) string { return fmt.Sprintf("program-%02d", number) }
--- a/account/shards.go
+++ b/account/shards.go
@@ -12,103 +12,109 @@
 )
 
 const (
-	// escrowsTable holds a row for each shard that ever had an escrow, in the
-	// partition of its programs: who makes a program's row does it on the
-	// condition that its shard's row is the one that it knows, at no cost but
-	// the condition.
+	// escrowsTable holds one row for each shard that ever had an escrow, in
+	// the partition of the shard's programs. The first row of a program is
+	// therefore written on the condition that its shard's row has not changed,
+	// at no cost besides the condition.
 	escrowsTable = "escrows"
-	// departureGrace is how long an instance that left still counts as the
-	// home of its shards. One that is replaced by its next start is back within
-	// seconds; if others took them meanwhile, all would move twice.
+	// departureGrace is how long an instance that left membership still counts
+	// as the home of its shards. A restarted instance is back within seconds;
+	// if other instances acquired its shards meanwhile, all shards would move
+	// twice.
 	departureGrace = 30 * time.Second
-	// longestLook is the longest pause between looks at shards that another
-	// start has. The first come each acquireInterval, and twice as late each
-	// time: one that lives hands its shards over within that of learning of this
-	// instance, one that died never does.
-	longestLook = time.Minute
+	// maxRetryDelay bounds the delay between attempts to acquire shards that
+	// other incarnations hold. The delay starts at acquireInterval and
+	// doubles: a running incarnation transfers its shards within that time
+	// after it discovers this instance, and a crashed one never does.
+	maxRetryDelay = time.Minute
 )
 
-// escrows are what is known of the shards' escrows, and which of them are
-// this start's own.
+// escrows holds what this instance has recorded of the shards' escrows, and
+// which of them belong to this incarnation.
 type escrows struct {
 	mu     sync.Mutex
 	shards [budget.Shards]shard
-	// rows are the hashes of programs that have a row: made before the own
-	// escrow of their shard, whose account they lack, or by a usage that was
-	// forgotten. A program that shares its hash with one of them takes a
-	// write.
+	// rows holds the name hashes of programs that may have a row. Such a row
+	// was written before this incarnation acquired the shard, and then lacks
+	// its escrow account, or for a program that was evicted since. Programs in
+	// it, and any whose hash collides, take a write.
 	rows map[uint64]struct{}
-	// seen is when each instance was last known, this one included; home are
-	// the shards whose home is this one among all of them.
-	seen    map[string]time.Time
-	members []string
-	home    []int
-	// look is when shards that others have are tried again, pause the time
-	// from then to the next try.
-	look    time.Time
-	pause   time.Duration
-	stopped bool
+	// lastSeen is when each instance, including this one, was last a member.
+	// members are the instances that count as members, sorted, and homeShards
+	// are the shards whose home among them is this instance, in ascending
+	// order.
+	lastSeen   map[string]time.Time
+	members    []string
+	homeShards []int
+	// nextRetry is the time of the next attempt to acquire shards that others
+	// hold, and retryDelay the delay after that attempt.
+	nextRetry  time.Time
+	retryDelay time.Duration
+	stopped    bool
 }
 
-// shard is what is known of one.
+// shard is the recorded state of one shard.
 type shard struct {
 	escrow budget.Escrow
-	// version is that of the escrow's row.
+	// version is the version of the escrow's row.
 	version uint64
-	// tried is set once a write of this start may have acquired the shard; usable
-	// while its escrow may be used: it stands in the store, and the programs
-	// that had a row by then are known.
-	tried, usable bool
+	// maybeAcquired is set once a write of this incarnation may have acquired
+	// the shard. usable is set while its escrow may grant tokens: it is in the
+	// store, and all programs that had a row at acquisition are in
+	// escrows.rows.
+	maybeAcquired, usable bool
 }
 
-// known returns the escrow of a shard, as last seen, and its row's version.
-func (escrows *escrows) known(at int) (budget.Escrow, uint64) {
+// get returns the last recorded escrow of a shard and the version of its row.
+func (escrows *escrows) get(index int) (budget.Escrow, uint64) {
 	escrows.mu.Lock()
 	defer escrows.mu.Unlock()
-	return escrows.shards[at].escrow, escrows.shards[at].version
+	return escrows.shards[index].escrow, escrows.shards[index].version
 }
 
-// take takes in a shard's row, if it is not older than what is known.
-func (escrows *escrows) take(at int, escrow budget.Escrow, version uint64) {
+// update records the row of a shard unless a newer version is recorded.
+func (escrows *escrows) update(index int, escrow budget.Escrow, version uint64) {
 	escrows.mu.Lock()
 	defer escrows.mu.Unlock()
-	if shard := &escrows.shards[at]; version >= shard.version {
+	if shard := &escrows.shards[index]; version >= shard.version {
 		shard.escrow, shard.version = escrow, version
 	}
 }
 
-// account returns the account that may be used of a program's budget without
-// a row, and whether there is one.
+// account returns the escrow account that may grant tokens of a program
+// without a row, and reports whether there is one.
 func (escrows *escrows) account(id string) (string, bool) {
 	escrows.mu.Lock()
 	defer escrows.mu.Unlock()
 	shard := &escrows.shards[budget.Shard(id)]
-	if _, hasRow := escrows.rows[rowHash(id)]; hasRow || !shard.usable {
+	if _, hasRow := escrows.rows[rowNameHash(id)]; hasRow || !shard.usable {
 		return "", false
 	}
 	return shard.escrow.Account, true
 }
 
-// isEscrowed reports whether the escrow of the program's shard is held here.
-func (escrows *escrows) isEscrowed(id string) bool {
+// usableFor reports whether this incarnation holds a usable escrow of the
+// program's shard.
+func (escrows *escrows) usableFor(id string) bool {
 	escrows.mu.Lock()
 	defer escrows.mu.Unlock()
 	return escrows.shards[budget.Shard(id)].usable
 }
 
-// noteRow notes that a program may have a row.
-func (escrows *escrows) noteRow(id string) {
+// recordRow records that a program may have a row, which ends the use of the
+// escrow for a new account of the program.
+func (escrows *escrows) recordRow(id string) {
 	escrows.mu.Lock()
 	defer escrows.mu.Unlock()
 	if escrows.rows == nil {
 		escrows.rows = map[uint64]struct{}{}
 	}
-	escrows.rows[rowHash(id)] = struct{}{}
+	escrows.rows[rowNameHash(id)] = struct{}{}
 }
 
-// use hands out in shards whose escrows stand, given the programs that
-// have a row.
-func (escrows *escrows) use(shards []int, rows map[uint64]struct{}) {
+// enable lets the escrows of shards grant tokens, unless the instance is
+// stopping. rows are the hashes of the programs that have a row.
+func (escrows *escrows) enable(shards []int, rows map[uint64]struct{}) {
 	escrows.mu.Lock()
 	defer escrows.mu.Unlock()
 	if escrows.rows == nil {
@@ -117,91 +123,94 @@
 	for hash := range rows {
 		escrows.rows[hash] = struct{}{}
 	}
-	for _, at := range shards {
-		escrows.shards[at].usable = !escrows.stopped
+	for _, index := range shards {
+		escrows.shards[index].usable = !escrows.stopped
 	}
 }
 
-// suspend has nothing handed out by escrow in shards from now on.
-func (escrows *escrows) suspend(shards []int) {
+// disable stops the escrows of shards from granting tokens to more programs.
+func (escrows *escrows) disable(shards []int) {
 	escrows.mu.Lock()
 	defer escrows.mu.Unlock()
-	for _, at := range shards {
-		escrows.shards[at].usable = false
+	for _, index := range shards {
+		escrows.shards[index].usable = false
 	}
 }
 
-// stop has nothing handed out by escrow any more, and returns the shards that this
-// start may have acquired.
+// stop disables the escrows of all shards for good and returns the shards that
+// this incarnation may have acquired.
 func (escrows *escrows) stop() []int {
 	escrows.mu.Lock()
 	defer escrows.mu.Unlock()
 	escrows.stopped = true
-	for at := range escrows.shards {
-		escrows.shards[at].usable = false
+	for index := range escrows.shards {
+		escrows.shards[index].usable = false
 	}
-	return escrows.tried()
+	return escrows.maybeAcquired()
 }
 
-// tried returns the shards that this start may have acquired. The caller holds
-// mu.
-func (escrows *escrows) tried() []int {
-	var tried []int
-	for at := range escrows.shards {
-		if escrows.shards[at].tried {
-			tried = append(tried, at)
+// maybeAcquired returns the shards that this incarnation may have acquired.
+// The caller holds mu.
+func (escrows *escrows) maybeAcquired() []int {
+	var maybeAcquired []int
+	for index := range escrows.shards {
+		if escrows.shards[index].maybeAcquired {
+			maybeAcquired = append(maybeAcquired, index)
 		}
 	}
-	return tried
+	return maybeAcquired
 }
 
-// setTried notes whether a write of this start may have acquired shards.
-func (escrows *escrows) setTried(shards []int, tried bool) {
+// setMaybeAcquired records whether a write of this incarnation may have
+// acquired shards.
+func (escrows *escrows) setMaybeAcquired(shards []int, maybeAcquired bool) {
 	escrows.mu.Lock()
 	defer escrows.mu.Unlock()
-	for _, at := range shards {
-		escrows.shards[at].tried = tried
+	for _, index := range shards {
+		escrows.shards[index].maybeAcquired = maybeAcquired
 	}
 }
 
-// plan returns the shards to hand over, whose home is another instance now, and
-// those to acquire, given the instances that are known. None are to be acquired
-// while those left were found to be of other starts just now.
-func (escrows *escrows) plan(self string, names []string, now time.Time) (away, toAcquire []int) {
+// plan returns the shards to transfer, whose home is now another instance, and
+// the shards to acquire, given the names of the known instances. It returns
+// none to acquire before nextRetry, after the remaining ones were found to be
+// held by other incarnations.
+func (escrows *escrows) plan(self string, names []string, now time.Time) (toTransfer, toAcquire []int) {
 	escrows.mu.Lock()
 	defer escrows.mu.Unlock()
 	if escrows.stopped {
 		return nil, nil
 	}
-	escrows.settleHome(self, names, now)
-	for _, at := range escrows.tried() {
-		if _, isHome := slices.BinarySearch(escrows.home, at); !isHome {
-			away = append(away, at)
+	escrows.updateHomeShards(self, names, now)
+	for _, index := range escrows.maybeAcquired() {
+		if _, isHome := slices.BinarySearch(escrows.homeShards, index); !isHome {
+			toTransfer = append(toTransfer, index)
 		}
 	}
-	if now.Before(escrows.look) {
-		return away, nil
+	if now.Before(escrows.nextRetry) {
+		return toTransfer, nil
 	}
-	for _, at := range escrows.home {
-		if !escrows.shards[at].usable {
-			toAcquire = append(toAcquire, at)
+	for _, index := range escrows.homeShards {
+		if !escrows.shards[index].usable {
+			toAcquire = append(toAcquire, index)
 		}
 	}
-	return away, toAcquire
+	return toTransfer, toAcquire
 }
 
-// settleHome finds out which shards have their home here. The caller holds mu.
-func (escrows *escrows) settleHome(self string, names []string, now time.Time) {
-	if escrows.seen == nil {
-		escrows.seen = map[string]time.Time{}
+// updateHomeShards recomputes homeShards if the members have changed. The
+// caller holds mu.
+func (escrows *escrows) updateHomeShards(self string, names []string, now time.Time) {
+	if escrows.lastSeen == nil {
+		escrows.lastSeen = map[string]time.Time{}
 	}
 	for _, name := range append(slices.Clone(names), self) {
-		escrows.seen[name] = now
+		escrows.lastSeen[name] = now
 	}
 	var members []string
-	for name, seen := range escrows.seen {
-		if now.Sub(seen) >= departureGrace {
-			delete(escrows.seen, name)
+	for name, lastSeen := range escrows.lastSeen {
+		if now.Sub(lastSeen) >= departureGrace {
+			delete(escrows.lastSeen, name)
 			continue
 		}
 		members = append(members, name)
@@ -210,17 +219,17 @@
 	if slices.Equal(members, escrows.members) {
 		return
 	}
-	escrows.members, escrows.home = members, budget.HomeShards(self, members)
-	escrows.look, escrows.pause = time.Time{}, 0
+	escrows.members, escrows.homeShards = members, budget.HomeShards(self, members)
+	escrows.nextRetry, escrows.retryDelay = time.Time{}, 0
 }
 
-// postpone has shards that others have looked at after a pause.
-func (escrows *escrows) postpone(now time.Time) {
+// postponeRetry delays the next attempt to acquire shards that others hold.
+func (escrows *escrows) postponeRetry(now time.Time) {
 	escrows.mu.Lock()
 	defer escrows.mu.Unlock()
-	escrows.look = now.Add(escrows.pause)
-	escrows.pause = min(max(2*escrows.pause, acquireInterval), longestLook)
+	escrows.nextRetry = now.Add(escrows.retryDelay)
+	escrows.retryDelay = min(max(2*escrows.retryDelay, acquireInterval), maxRetryDelay)
 }
 
-// rowHash is the hash of a program's row name.
-func rowHash(id string) uint64 { return xxhash.Sum64String(store.Name(id)) }
+// rowNameHash returns the hash of the name of a program's row.
+func rowNameHash(id string) uint64 { return xxhash.Sum64String(store.Name(id)) }
