--- a/account/escrow_test.go
+++ b/account/escrow_test.go
@@ -131,10 +131,10 @@
 	require.NoError(t, m.AcquireOnce(context.Background(), m, false))
 }
 
-// programWithHome returns a program whose home among names is name; at selects
-// different programs.
-func programWithHome(at int, name string, names ...string) string {
-	for n := at * 1000; ; n++ {
+// programWithHome returns a program whose home among names is name; offset
+// selects different programs.
+func programWithHome(offset int, name string, names ...string) string {
+	for n := offset * 1000; ; n++ {
 		if program := fmt.Sprint("p", n); budget.Home(program, names) == name {
 			return program
 		}
@@ -195,12 +195,12 @@
 	require.ErrorAs(t, err, &held, "a third of the budget may be spent")
 	_, err = reserveInFull(ctx, b.Keeper, program, 700, 1000)
 	require.NoError(t, err, "a program with a single turn")
-	again := cluster.start("a", "b")
+	restarted := cluster.start("a", "b")
 	var noEscrow *account.NoEscrowError
-	require.ErrorAs(t, again.AcquireOnce(ctx, again, false), &noEscrow)
-	_, err = reserveInFull(ctx, again.Keeper, programWithHome(1, "a", "a", "b"), 700, 1000)
+	require.ErrorAs(t, restarted.AcquireOnce(ctx, restarted, false), &noEscrow)
+	_, err = reserveInFull(ctx, restarted.Keeper, programWithHome(1, "a", "a", "b"), 700, 1000)
 	require.NoError(t, err, "two thirds remain, granted by a row")
-	_, err = reserveInFull(ctx, again.Keeper, programWithHome(2, "a", "a", "b"), 701, 1000)
+	_, err = reserveInFull(ctx, restarted.Keeper, programWithHome(2, "a", "a", "b"), 701, 1000)
 	require.ErrorAs(t, err, &held)
 }
 
@@ -224,8 +224,8 @@
 	_, err = reserveInFull(ctx, b.Keeper, program, 701, 1000)
 	var held *account.HeldError
 	require.ErrorAs(t, err, &held, "a may only be partitioned")
-	again := cluster.start("a", "b")
-	second, err := reserveInFull(ctx, again.Keeper, program, 600, 1000)
+	restarted := cluster.start("a", "b")
+	second, err := reserveInFull(ctx, restarted.Keeper, program, 600, 1000)
 	require.NoError(t, err)
 	second.Settle(600)
 	var reads atomic.Int64
@@ -344,11 +344,11 @@
 	require.Error(t, err, "a stopped instance grants nothing by escrow")
 	m.up = false
 	memory.SetFault(storeServes)
-	again := cluster.start("a")
+	restarted := cluster.start("a")
 	var noEscrow *account.NoEscrowError
-	require.ErrorAs(t, again.AcquireOnce(ctx, again, false), &noEscrow, "the earlier escrow is still in the store")
+	require.ErrorAs(t, restarted.AcquireOnce(ctx, restarted, false), &noEscrow, "the earlier escrow is still in the store")
 	for n := range 60 {
-		_, err := reserveInFull(ctx, again.Keeper, fmt.Sprint("p", n), 701, 1000)
+		_, err := reserveInFull(ctx, restarted.Keeper, fmt.Sprint("p", n), 701, 1000)
 		assert.Error(t, err, "program %d", n)
 	}
 }
@@ -505,14 +505,14 @@
 	b.peers = nil
 	clk.Advance(10 * time.Second)
 	b.acquire(t)
-	again := cluster.start("a", "b")
-	again.acquire(t)
+	restarted := cluster.start("a", "b")
+	restarted.acquire(t)
 	memory.SetFault(storeRefuses)
-	_, err := reserveInFull(ctx, again.Keeper, program, 300, 1000)
+	_, err := reserveInFull(ctx, restarted.Keeper, program, 300, 1000)
 	require.NoError(t, err)
 	memory.SetFault(storeServes)
-	require.NoError(t, again.Stop(ctx))
-	again.up = false
+	require.NoError(t, restarted.Stop(ctx))
+	restarted.up = false
 	clk.Advance(afterDepartureGrace)
 	b.acquire(t)
 	memory.SetFault(storeRefuses)
@@ -818,9 +818,9 @@
 	for i := range totals {
 		totals[i] = int64(400 + rng.IntN(4000))
 	}
-	share := rng.Float64() * 0.4
-	flaky := storetest.Random(rng, share, storetest.Refuse, storetest.LoseAnswer, storetest.LoseCall)
-	calls := rng.Float64() * 0.3
+	storeFaultShare := rng.Float64() * 0.4
+	flaky := storetest.Random(rng, storeFaultShare, storetest.Refuse, storetest.LoseAnswer, storetest.LoseCall)
+	callFaultShare := rng.Float64() * 0.3
 	start := func(name string) {
 		m := cluster.start(name)
 		for _, other := range names {
@@ -828,13 +828,13 @@
 				m.peers = append(m.peers, other)
 			}
 		}
-		m.callFails = func() bool { return rng.Float64() < calls }
+		m.callFails = func() bool { return rng.Float64() < callFaultShare }
 	}
 	for _, name := range names {
 		start(name)
 	}
 	var inFlight []inFlightTurn
-	end := func(i int, spent int64) {
+	finish := func(i int, spent int64) {
 		generated[inFlight[i].program] += spent
 		inFlight = slices.Delete(inFlight, i, i+1)
 	}
@@ -861,7 +861,7 @@
 				i := rng.IntN(len(inFlight))
 				spent := rng.Int64N(inFlight[i].turn.Promised() + 1)
 				inFlight[i].turn.Settle(spent)
-				end(i, spent)
+				finish(i, spent)
 			}
 		case draw == 12:
 			if len(inFlight) > 0 {
@@ -876,7 +876,7 @@
 				m.up = false
 				for i := len(inFlight) - 1; i >= 0; i-- {
 					if inFlight[i].instance == m {
-						end(i, rng.Int64N(inFlight[i].turn.Promised()+1))
+						finish(i, rng.Int64N(inFlight[i].turn.Promised()+1))
 					}
 				}
 			}
@@ -886,7 +886,7 @@
 					if inFlight[i].instance == m {
 						spent := inFlight[i].turn.Promised()
 						inFlight[i].turn.Settle(spent)
-						end(i, spent)
+						finish(i, spent)
 					}
 				}
 				_ = m.Stop(ctx) // unreleased tokens count as spent
--- a/account/grant.go
+++ b/account/grant.go
@@ -103,9 +103,9 @@
 // time a turn that began with a partial grant needs it. It returns the store's
 // *store.Error.
 func (manager *Keeper) writeGrant(ctx context.Context, p *program, turn budget.Turn, total int64) error {
-	limited, cancel := context.WithTimeout(ctx, rowWaitTimeout)
+	waitCtx, cancel := context.WithTimeout(ctx, rowWaitTimeout)
 	defer cancel()
-	if err := p.lockRow(limited); err != nil {
+	if err := p.lockRow(waitCtx); err != nil {
 		return err
 	}
 	decision, ledger := p.decide(turn, total)
@@ -127,7 +127,7 @@
 	select {
 	case err := <-written:
 		return err
-	case <-limited.Done():
+	case <-waitCtx.Done():
 		return store.NewError(store.FailureUnanswered, "budget", "the write of the budget row is still pending")
 	}
 }
--- a/account/loan.go
+++ b/account/loan.go
@@ -235,9 +235,9 @@
 	var calls sync.WaitGroup
 	for home, repayments := range manager.loans.takePending() {
 		calls.Go(func() {
-			limited, cancel := context.WithTimeout(ctx, repayTimeout)
+			callCtx, cancel := context.WithTimeout(ctx, repayTimeout)
 			defer cancel()
-			if err := manager.lenders.Repay(limited, home, repayments); err != nil {
+			if err := manager.lenders.Repay(callCtx, home, repayments); err != nil {
 				manager.log.Info("repayments not delivered: the loans count as spent", "home", home, "loans", len(repayments), "err", err)
 			}
 		})
--- a/account/program.go
+++ b/account/program.go
@@ -135,8 +135,8 @@
 }
 
 // mayBeginPartially reports whether the program's first turn here may begin
-// with a partial grant although the remaining tokens are held only by the
-// incarnation of an escrow, which may have crashed. After a power loss of all
+// with a partial grant: the only other account, if any, is that of another
+// incarnation's escrow, which may have crashed. After a power loss of all
 // instances, every program with a single turn that may generate more than the
 // remaining tokens would otherwise be refused; with partial grants one in ten
 // of these streams breaks off. Later turns wait, since a broken stream costs
@@ -147,8 +147,9 @@
 	return p.usage.Alone() && p.usage.Used() == 0
 }
 
-// hasEscrow reports whether turns may begin with a partial grant of this
-// instance's escrow.
+// hasEscrow reports whether turns may begin with a partial grant: the
+// program's account is that of this instance's escrow, and no other account is
+// recorded.
 func (p *program) hasEscrow() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/account/release_test.go
+++ b/account/release_test.go
@@ -169,10 +169,10 @@
 			require.NoError(t, err)
 			turn.Settle(300)
 		}
-		stuck := fmt.Sprintf("program-%02d", budget.Shard("p0")%48)
+		failingPartition := fmt.Sprintf("program-%02d", budget.Shard("p0")%48)
 		var refused atomic.Int64
 		memory.SetFault(func(op, partition string) storetest.Fault {
-			if op == "commit" && partition == stuck && refused.Add(1) <= refusals {
+			if op == "commit" && partition == failingPartition && refused.Add(1) <= refusals {
 				return storetest.Refuse
 			}
 			return storetest.None
--- a/account/remainder_test.go
+++ b/account/remainder_test.go
@@ -48,11 +48,11 @@
 
 // beginPartially returns a turn that begins with a partial grant, since the
 // store is unavailable for a moment.
-func beginPartially(t *testing.T, memory *storetest.Memory, at *instance, program string, maxTokens, total int64) *account.Reservation {
+func beginPartially(t *testing.T, memory *storetest.Memory, m *instance, program string, maxTokens, total int64) *account.Reservation {
 	t.Helper()
 	memory.SetFault(storeRefuses)
 	defer memory.SetFault(storeServes)
-	turn, err := at.Reserve(context.Background(), program, maxTokens, total)
+	turn, err := m.Reserve(context.Background(), program, maxTokens, total)
 	require.NoError(t, err)
 	require.Less(t, turn.Promised(), maxTokens)
 	return turn
@@ -106,8 +106,8 @@
 	ctx := context.Background()
 	memory := storetest.New()
 	a, b, c, program := startThreeInstances(t, memory, clock.Real{})
-	for at := 1; budget.Home(program, []string{"b", "c"}) != "c"; at++ {
-		program = programWithHome(at, "a", "a", "b", "c")
+	for offset := 1; budget.Home(program, []string{"b", "c"}) != "c"; offset++ {
+		program = programWithHome(offset, "a", "a", "b", "c")
 	}
 	const maxTokens, total = 567, 1500
 	turn := beginPartially(t, memory, b, program, maxTokens, total)
@@ -152,10 +152,10 @@
 	ledger, sum := programRow(t, memory, program)
 	t.Log("begun with", begun, ledger.Accounts, sum)
 	assert.EqualValues(t, maxTokens+200, sum.Used)
-	const left = total - maxTokens - 200
-	last, err := reserveInFull(ctx, c.Keeper, program, left, total)
-	require.NoError(t, err, "%d tokens of the budget remain", left)
-	last.Settle(left)
+	const remaining = total - maxTokens - 200
+	last, err := reserveInFull(ctx, c.Keeper, program, remaining, total)
+	require.NoError(t, err, "%d tokens of the budget remain", remaining)
+	last.Settle(remaining)
 }
 
 // Guards against a retried stop, as in an instance's departure, that reserves
@@ -329,11 +329,11 @@
 				f.unreachable.Store(true)
 			}
 			turn, err := f.managers[1].Reserve(ctx, "p", 567, 1134)
-			require.NoError(t, err, "answer lost %v, stops %v", lost, stops)
+			require.NoError(t, err, "response or call lost by fault %v, stops %v", lost, stops)
 			turn.Settle(567)
 			memory.ApplyLate()
 			turn, err = f.managers[1].Reserve(ctx, "p", 567, 1134)
-			require.NoError(t, err, "answer lost %v, stops %v", lost, stops)
+			require.NoError(t, err, "response or call lost by fault %v, stops %v", lost, stops)
 			turn.Settle(567)
 		}
 	}
@@ -353,8 +353,8 @@
 			require.NoError(t, err)
 			stops := map[string]*instance{"a": a, "c": c}[stop]
 			var others []*account.Reservation
-			reserve := func(at *instance) {
-				if other, err := at.Reserve(ctx, program, maxTokens, total); err == nil {
+			reserve := func(through *instance) {
+				if other, err := through.Reserve(ctx, program, maxTokens, total); err == nil {
 					others = append(others, other)
 				}
 			}
--- a/account/row.go
+++ b/account/row.go
@@ -81,9 +81,9 @@
 		p.markUnanswered()
 		manager.log.Info("budget write not answered: the row may or may not be stored", "program", p.id, "version", row.Version, "row", ledger.String(), "err", err)
 	}
-	if se, ok := err.(*store.Error); ok && se.Failure() == store.FailureConflict {
-		if cerr := manager.adoptConflict(ctx, p, se.Rows()); cerr != nil {
-			return cerr
+	if storeErr, ok := err.(*store.Error); ok && storeErr.Failure() == store.FailureConflict {
+		if adoptErr := manager.adoptConflict(ctx, p, storeErr.Rows()); adoptErr != nil {
+			return adoptErr
 		}
 	}
 	return err
--- a/account/shards.go
+++ b/account/shards.go
@@ -34,10 +34,11 @@
 type escrows struct {
 	mu     sync.Mutex
 	shards [budget.Shards]shard
-	// rows holds the name hashes of programs that may have a row. Such a row
-	// was written before this incarnation acquired the shard, and then lacks
-	// its escrow account, or for a program that was evicted since. Programs in
-	// it, and any whose hash collides, take a write.
+	// rows holds the name hashes of programs that may have a row, so that they
+	// take a write instead of a grant by escrow. Such a row was written before
+	// this incarnation acquired the shard and lacks its escrow account, or it
+	// belongs to a program that was evicted since. A program whose hash
+	// collides with one of them takes a write as well.
 	rows map[uint64]struct{}
 	// lastSeen is when each instance, including this one, was last a member.
 	// members are the instances that count as members, sorted, and homeShards
