--- a/quota/bucket.go
+++ b/quota/bucket.go
@@ -7,132 +7,141 @@
 )
 
 const (
-	// toleranceShare of what operators tolerate above a quota deepens the
-	// bucket: programs call several tools at once, and shallow buckets refuse
-	// requests of organisations that stay below their quota. The rest is for
-	// the time in which two instances both take themselves for the home.
+	// toleranceShare is the share of the tolerated excess that is added to the
+	// depth of a bucket. Programs call several tools at once, and a shallow
+	// bucket rejects requests of organisations that stay below their quota. The
+	// remaining share covers the time in which two instances both act as the
+	// home.
 	toleranceShare = 0.5
-	// newShare of the depth is kept for programs that have begun while they ask
-	// for more than comes: a program makes some twenty requests, and all that it
-	// was given is lost if one of the last is refused. Nothing is kept while
-	// they ask for less than calmShare of the rate, and all from the full rate
-	// on.
-	newShare  = 0.5
-	calmShare = 0.6
-	// pressureTime is over which what is asked for is averaged: programs take
-	// some seconds.
-	pressureTime = 2 * time.Second
-	// programTime is how long a program without requests is remembered.
-	programTime = 30 * time.Second
-	// spareShare of the depth is not given out ahead.
-	spareShare = 0.5
-	// LeaseTime is how long credit given ahead may be used.
+	// startedShare is the share of the depth that is reserved for started
+	// programs while their demand exceeds the refill rate. A program makes
+	// about twenty requests, and everything granted to it is wasted if one of
+	// the last is rejected. Nothing is reserved while their demand is below
+	// lowDemandShare of the rate; the reservation grows to startedShare as
+	// demand reaches the rate.
+	startedShare   = 0.5
+	lowDemandShare = 0.6
+	// bucketDemandTime is the time constant of the moving average of demand at
+	// a bucket. It is of the order of the duration of a program, some seconds.
+	bucketDemandTime = 2 * time.Second
+	// programTTL is how long a program without requests counts as started.
+	programTTL = 30 * time.Second
+	// aheadFloorShare is the share of the depth below which no credit is
+	// granted ahead.
+	aheadFloorShare = 0.5
+	// LeaseTime is the duration of a lease on credit granted ahead.
 	LeaseTime = time.Second
-	// leaseSlack is added at the home: its clock may run a little faster.
+	// leaseSlack extends each lease at the home, whose clock may run slightly
+	// faster than that of the holder.
 	leaseSlack = 100 * time.Millisecond
-	// MostPatience bounds how long a request waits for credit. A bucket may owe
-	// what comes in that time, so that one that begins without the word of the
-	// home before owes as much.
+	// MostPatience bounds the wait of a request for credit, and with it the
+	// debt of a bucket: at most the refill of this time is granted before it
+	// arrives. A bucket that starts without a report from the previous home
+	// assumes a debt of this size.
 	MostPatience = 250 * time.Millisecond
-	// mostRetry bounds when a caller is told to come back.
-	mostRetry = 5 * time.Second
+	// maxRetryAfter bounds the retry delay given to callers.
+	maxRetryAfter = 5 * time.Second
 )
 
 // Limit is an organisation's quota in one version of the configuration.
 type Limit struct {
-	// Rate is in requests a second, Burst in requests on top.
+	// Rate is in requests per second, Burst in requests above the rate.
 	Rate, Burst float64
-	// Version is the configuration's.
+	// Version is the version of the configuration.
 	Version uint64
 }
 
-// Tolerance is what operators tolerate above a quota: within any Window, a
-// share Overage of what the quota allows there, and Slack requests.
+// Tolerance is the excess over a quota that operators accept: within any
+// Window, the share Overage of the requests that the quota allows in it, plus
+// Slack requests.
 type Tolerance struct {
 	Window         time.Duration
 	Overage, Slack float64
 }
 
-// Depth returns the most that a bucket of the limit holds.
+// Depth returns the maximum level of a bucket with the limit.
 func (tolerance Tolerance) Depth(limit Limit) float64 {
 	allowed := limit.Rate*tolerance.Window.Seconds() + limit.Burst
 	return limit.Burst + toleranceShare*(tolerance.Overage*allowed+tolerance.Slack)
 }
 
-// Ask is an instance's request for the credit of one request.
+// Ask is a request by an instance for the credit of one caller request.
 type Ask struct {
-	// Asker is the instance.
+	// Asker is the name of the requesting instance.
 	Asker string
-	// Program is a hash of the request's program, 0 for none. New tells that the
-	// request begins it as far as the asker knows: programs that have begun go
-	// before new ones.
+	// Program is a hash of the program of the caller request, 0 for none. New
+	// is set if, as far as the instance has recorded, the request is the first
+	// of its program. Started programs take precedence over new ones.
 	Program uint64
 	New     bool
-	// Patience is how long the request may wait for credit.
+	// Patience is how long the caller request may wait for credit.
 	Patience time.Duration
-	// Left is what the asker has of credit given ahead, negative if it asks for
-	// none; Spare what it would take ahead beside the request's own; Returned
-	// what it used for requests that did not run.
+	// Left is the credit granted ahead that the instance still holds, or
+	// negative if the request is for no credit ahead. Spare is the credit
+	// requested ahead, beyond the one for the caller request. Returned is
+	// credit consumed by requests that were then not run.
 	Left, Spare, Returned int
 }
 
-// Answer is a home's answer to an Ask.
+// Answer is the response of a home to an Ask.
 type Answer struct {
-	// Granted: the request may run after Wait. Else its caller may come back
-	// after Wait.
+	// Granted reports whether the caller request may run once Wait has passed.
+	// If it is false, the caller may retry after Wait.
 	Granted bool
 	Wait    time.Duration
-	// Spare is credit ahead, for LeaseTime from when it was asked for; what the
-	// asker had left may be used as long.
+	// Spare is the credit granted ahead. The instance may use it, and the
+	// credit that it still held, for LeaseTime from the time it sent the
+	// request.
 	Spare int
-	// Level is what the bucket holds then; negative while credit that is to
-	// come is granted already.
+	// Level is the level of the bucket after the decision. It is negative while
+	// credit is granted that has not been refilled yet.
 	Level float64
 }
 
-// Bucket is the token bucket of one organisation at its home. It is not safe
-// for concurrent use.
+// Bucket is the token bucket of one organisation at its home instance. It is
+// not safe for concurrent use.
 type Bucket struct {
 	tolerance Tolerance
 	limit     Limit
 	depth     float64
 	level     float64
-	at        time.Time
-	// programs are those that were granted a request, by when they were last.
-	programs map[uint64]time.Time
-	swept    time.Time
-	// asked is what programs that have begun ask for, in requests a second.
-	asked float64
-	// booked are callers that were told to come back and have not had the time
-	// to.
-	booked float64
-	// leases are what instances may have of credit given ahead.
+	refilled  time.Time
+	// programs holds the time of the last granted request of each program.
+	programs  map[uint64]time.Time
+	lastSweep time.Time
+	// demand is the average rate of requests of started programs, per second.
+	demand float64
+	// pendingRetries is the number of rejected callers whose retry is not due
+	// yet.
+	pendingRetries float64
+	// leases holds the credit granted ahead to each instance.
 	leases map[string]lease
 }
 
+// lease is a bound on the credit granted ahead that one instance may still use.
 type lease struct {
 	amount int
 	until  time.Time
 }
 
-// Balance is what a bucket holds, as one home tells it to the next.
+// Balance is the state of a bucket as it is transferred between homes.
 type Balance struct {
 	Limit Limit
-	// Level is what the bucket holds, Given what instances may still have of
-	// credit given ahead.
+	// Level is the level of the bucket, Given the credit granted ahead that
+	// instances may still use.
 	Level float64
 	Given int
 }
 
 // NewBucket returns an empty bucket.
 func NewBucket(tolerance Tolerance, limit Limit, now time.Time) *Bucket {
-	bucket := &Bucket{tolerance: tolerance, at: now, leases: map[string]lease{}, programs: map[uint64]time.Time{}}
-	bucket.put(limit)
+	bucket := &Bucket{tolerance: tolerance, refilled: now, leases: map[string]lease{}, programs: map[uint64]time.Time{}}
+	bucket.setLimit(limit)
 	return bucket
 }
 
-// put takes a limit over unless a newer one is known.
-func (bucket *Bucket) put(limit Limit) {
+// setLimit replaces the limit unless the current one is of a newer version.
+func (bucket *Bucket) setLimit(limit Limit) {
 	if limit.Version < bucket.limit.Version {
 		return
 	}
@@ -140,152 +149,156 @@
 	bucket.depth = bucket.tolerance.Depth(limit)
 }
 
-// Level returns what the bucket holds at now.
+// Level returns the level of the bucket at now.
 func (bucket *Bucket) Level(now time.Time) float64 {
 	bucket.refill(now)
 	return bucket.level
 }
 
-// Balance returns what the bucket holds at now.
+// Balance returns the state of the bucket at now.
 func (bucket *Bucket) Balance(now time.Time) Balance {
 	bucket.refill(now)
-	return Balance{Limit: bucket.limit, Level: bucket.level, Given: bucket.given()}
+	return Balance{Limit: bucket.limit, Level: bucket.level, Given: bucket.outstanding()}
 }
 
-// Names under which leases of homes before stand; no instance has an empty one.
+// Keys of leases granted by previous homes. They can't clash with the name of
+// an instance, which is neither empty nor blank.
 const (
-	askersBefore  = ""
-	askersUnknown = " "
+	previousHome = ""
+	unknownHome  = " "
 )
 
-// Add adds what another home held.
+// Add adds the balance of the bucket at another home.
 func (bucket *Bucket) Add(balance Balance, now time.Time) {
 	bucket.refill(now)
-	bucket.put(balance.Limit)
+	bucket.setLimit(balance.Limit)
 	bucket.level += balance.Level
-	bucket.leases[askersBefore] = lease{amount: max(balance.Given, 0), until: now.Add(LeaseTime + leaseSlack)}
+	bucket.leases[previousHome] = lease{amount: max(balance.Given, 0), until: now.Add(LeaseTime + leaseSlack)}
 	bucket.cap()
 }
 
-// Doubt counts with credit that a home before, whose word is missing, may have
-// given ahead, and with what it may have owed.
-func (bucket *Bucket) Doubt(now time.Time) {
+// AssumeOutstanding accounts for a previous home that did not report: it
+// deducts the maximum debt, and records a lease on the maximum credit that the
+// home may have granted ahead.
+func (bucket *Bucket) AssumeOutstanding(now time.Time) {
 	bucket.refill(now)
 	bucket.level -= MostPatience.Seconds() * bucket.limit.Rate
-	amount := int(math.Ceil((1 - spareShare) * bucket.depth))
-	bucket.leases[askersUnknown] = lease{amount: amount, until: now.Add(LeaseTime + leaseSlack)}
+	amount := int(math.Ceil((1 - aheadFloorShare) * bucket.depth))
+	bucket.leases[unknownHome] = lease{amount: amount, until: now.Add(LeaseTime + leaseSlack)}
 }
 
-// refill adds what came since the last time.
+// refill adds the credit accrued since the last call and drops expired leases.
 func (bucket *Bucket) refill(now time.Time) {
-	passed := now.Sub(bucket.at).Seconds()
-	if passed < 0 {
+	elapsed := now.Sub(bucket.refilled).Seconds()
+	if elapsed < 0 {
 		return
 	}
-	bucket.at = now
-	bucket.booked = max(bucket.booked-passed*bucket.limit.Rate, 0)
-	bucket.asked *= math.Exp(-passed / pressureTime.Seconds())
-	bucket.level += passed * bucket.limit.Rate
-	for asker, lease := range bucket.leases {
+	bucket.refilled = now
+	bucket.pendingRetries = max(bucket.pendingRetries-elapsed*bucket.limit.Rate, 0)
+	bucket.demand *= math.Exp(-elapsed / bucketDemandTime.Seconds())
+	bucket.level += elapsed * bucket.limit.Rate
+	for instance, lease := range bucket.leases {
 		if now.After(lease.until) {
-			delete(bucket.leases, asker)
+			delete(bucket.leases, instance)
 		}
 	}
 	bucket.cap()
 }
 
-// cap drops what is above the depth, of which credit given ahead is a part.
+// cap limits the level to the depth less the credit granted ahead, which counts
+// towards the depth.
 func (bucket *Bucket) cap() {
-	bucket.level = min(bucket.level, bucket.depth-float64(bucket.given()))
+	bucket.level = min(bucket.level, bucket.depth-float64(bucket.outstanding()))
 }
 
-// given returns what instances may have of credit given ahead.
-func (bucket *Bucket) given() int {
-	given := 0
+// outstanding returns the credit granted ahead that instances may still use.
+func (bucket *Bucket) outstanding() int {
+	outstanding := 0
 	for _, lease := range bucket.leases {
-		given += lease.amount
+		outstanding += lease.amount
 	}
-	return given
+	return outstanding
 }
 
-// Take decides on a request at now, by the newest limit known.
-func (bucket *Bucket) Take(ask Ask, limit Limit, now time.Time) Answer {
+// Take decides on a request at now, under the newest limit recorded.
+func (bucket *Bucket) Take(request Ask, limit Limit, now time.Time) Answer {
 	bucket.refill(now)
-	bucket.put(limit)
-	bucket.settle(ask, now)
-	_, hasBegun := bucket.programs[ask.Program]
-	isNew := ask.New && !hasBegun
+	bucket.setLimit(limit)
+	bucket.reconcile(request, now)
+	_, hasStarted := bucket.programs[request.Program]
+	isNew := request.New && !hasStarted
 	if !isNew {
-		bucket.asked += 1 / pressureTime.Seconds()
+		bucket.demand += 1 / bucketDemandTime.Seconds()
 	}
 	floor := 0.0
 	if isNew {
-		floor = newShare * bucket.depth * bucket.pressure()
+		floor = startedShare * bucket.depth * bucket.pressure()
 	}
 	missing := floor + 1 - bucket.level
-	answer := Answer{Granted: missing <= 0}
-	if wait := bucket.time(missing); !answer.Granted && !isNew && wait <= min(ask.Patience, MostPatience) {
-		answer.Granted, answer.Wait = true, wait
+	response := Answer{Granted: missing <= 0}
+	if wait := bucket.time(missing); !response.Granted && !isNew && wait <= min(request.Patience, MostPatience) {
+		response.Granted, response.Wait = true, wait
 	}
-	if !answer.Granted {
-		answer.Wait = bucket.time(missing + bucket.booked)
-		bucket.booked++
-		answer.Level = bucket.level
-		return answer
+	if !response.Granted {
+		response.Wait = bucket.time(missing + bucket.pendingRetries)
+		bucket.pendingRetries++
+		response.Level = bucket.level
+		return response
 	}
 	bucket.level--
-	bucket.remember(ask.Program, now)
-	if ask.Left >= 0 {
-		answer.Spare = bucket.spare(ask.Spare)
+	bucket.recordProgram(request.Program, now)
+	if request.Left >= 0 {
+		response.Spare = bucket.grantAhead(request.Spare)
 	}
-	bucket.level -= float64(answer.Spare)
-	if amount := ask.Left + answer.Spare; amount > 0 && ask.Left >= 0 {
-		bucket.leases[ask.Asker] = lease{amount: amount, until: now.Add(LeaseTime + leaseSlack)}
+	bucket.level -= float64(response.Spare)
+	if amount := request.Left + response.Spare; amount > 0 && request.Left >= 0 {
+		bucket.leases[request.Asker] = lease{amount: amount, until: now.Add(LeaseTime + leaseSlack)}
 	}
-	answer.Level = bucket.level
-	return answer
+	response.Level = bucket.level
+	return response
 }
 
-// remember notes that a request of the program was granted, and forgets those
-// of long ago.
-func (bucket *Bucket) remember(program uint64, now time.Time) {
-	if now.Sub(bucket.swept) > programTime {
-		bucket.swept = now
-		maps.DeleteFunc(bucket.programs, func(_ uint64, last time.Time) bool { return now.Sub(last) > programTime })
+// recordProgram records a granted request of the program, and removes programs
+// without a request for programTTL.
+func (bucket *Bucket) recordProgram(program uint64, now time.Time) {
+	if now.Sub(bucket.lastSweep) > programTTL {
+		bucket.lastSweep = now
+		maps.DeleteFunc(bucket.programs, func(_ uint64, last time.Time) bool { return now.Sub(last) > programTTL })
 	}
 	if program != 0 {
 		bucket.programs[program] = now
 	}
 }
 
-// pressure returns 0 while less is asked for than comes, up to 1 when it is as
-// much.
+// pressure returns 0 while the demand is at most lowDemandShare of the rate,
+// rising to 1 when it reaches the rate.
 func (bucket *Bucket) pressure() float64 {
 	if bucket.limit.Rate <= 0 {
 		return 1
 	}
-	return min(max((bucket.asked/bucket.limit.Rate-calmShare)/(1-calmShare), 0), 1)
+	return min(max((bucket.demand/bucket.limit.Rate-lowDemandShare)/(1-lowDemandShare), 0), 1)
 }
 
-// settle takes in what the asker tells of credit that it was given.
-func (bucket *Bucket) settle(ask Ask, now time.Time) {
-	if lease, ok := bucket.leases[ask.Asker]; ok && ask.Left >= 0 {
-		lease.amount = min(lease.amount, ask.Left)
-		bucket.leases[ask.Asker] = lease
+// reconcile applies the instance's report on the credit granted to it ahead.
+func (bucket *Bucket) reconcile(request Ask, now time.Time) {
+	if lease, ok := bucket.leases[request.Asker]; ok && request.Left >= 0 {
+		lease.amount = min(lease.amount, request.Left)
+		bucket.leases[request.Asker] = lease
 	}
-	bucket.level += float64(max(ask.Returned, 0))
+	bucket.level += float64(max(request.Returned, 0))
 	bucket.cap()
 }
 
-// spare returns how much of wanted may be given ahead.
-func (bucket *Bucket) spare(wanted int) int {
-	return max(min(wanted, int(bucket.level-spareShare*bucket.depth)), 0)
+// grantAhead returns how much of the requested credit may be granted ahead.
+func (bucket *Bucket) grantAhead(requested int) int {
+	return max(min(requested, int(bucket.level-aheadFloorShare*bucket.depth)), 0)
 }
 
-// time returns how long amount takes to come.
+// time returns how long the bucket takes to accrue amount, at most
+// maxRetryAfter.
 func (bucket *Bucket) time(amount float64) time.Duration {
 	if bucket.limit.Rate <= 0 {
-		return mostRetry
+		return maxRetryAfter
 	}
-	return time.Duration(math.Min(max(amount, 0)/bucket.limit.Rate, mostRetry.Seconds()) * float64(time.Second))
+	return time.Duration(math.Min(max(amount, 0)/bucket.limit.Rate, maxRetryAfter.Seconds()) * float64(time.Second))
 }
--- a/quota/bucket_test.go
+++ b/quota/bucket_test.go
@@ -15,13 +15,14 @@
 	limit20 = quota.Limit{Rate: 20, Burst: 20, Version: 1}
 )
 
-// filled returns a bucket that is full at epoch.
-func filled(limit quota.Limit) *quota.Bucket {
+// fullBucket returns a bucket that is full at epoch.
+func fullBucket(limit quota.Limit) *quota.Bucket {
 	bucket := quota.NewBucket(tolerance, limit, epoch)
 	bucket.Add(quota.Balance{Limit: limit, Level: 1e9}, epoch)
 	return bucket
 }
 
+// drain takes all credit of a bucket at now, and returns its amount.
 func drain(bucket *quota.Bucket, now time.Time) int {
 	for n := 0; ; n++ {
 		if !bucket.Take(quota.Ask{}, limit20, now).Granted {
@@ -30,67 +31,67 @@
 	}
 }
 
-func TestBucketHoldsItsDepthAndFillsAtItsRate(t *testing.T) {
-	bucket := filled(limit20)
-	assert.Equal(t, 36, drain(bucket, epoch), "burst 20 and half of 0.1 x 120 + 20")
+func TestBucketIsBoundedByDepthAndRefillsAtRate(t *testing.T) {
+	bucket := fullBucket(limit20)
+	assert.Equal(t, 36, drain(bucket, epoch), "burst 20 plus half of 0.1 x 120 + 20")
 	assert.Equal(t, 20, drain(bucket, epoch.Add(time.Second)))
 	assert.Equal(t, 36, drain(bucket, epoch.Add(time.Minute)))
 }
 
-// Guards against callers that are told to come back at once, or all together,
-// when there is still no credit for them.
-func TestRefusedCallersComeBackOneAfterTheOther(t *testing.T) {
-	bucket := filled(limit20)
+// Guards against retry delays that are zero, or equal for all rejected callers,
+// while there is no credit for them.
+func TestRejectedCallersGetStaggeredRetryDelays(t *testing.T) {
+	bucket := fullBucket(limit20)
 	drain(bucket, epoch)
 	var last time.Duration
 	for range 20 {
-		answer := bucket.Take(quota.Ask{}, limit20, epoch)
-		assert.False(t, answer.Granted)
-		assert.Greater(t, answer.Wait, last)
-		last = answer.Wait
+		response := bucket.Take(quota.Ask{}, limit20, epoch)
+		assert.False(t, response.Granted)
+		assert.Greater(t, response.Wait, last)
+		last = response.Wait
 	}
-	assert.InDelta(t, 1.05, last.Seconds(), 0.06, "the drain's own refusal and twenty more at 20 a second")
+	assert.InDelta(t, 1.05, last.Seconds(), 0.06, "the rejection in drain and twenty more at 20 per second")
 }
 
-// Guards against a program that is lost in the middle, since new ones took the
-// credit that it needed: a burst of new programs of one organisation.
-func TestProgramsThatHaveBegunGoBeforeNewOnes(t *testing.T) {
-	bucket := filled(limit20)
+// Guards against a program that fails halfway because new programs took the
+// credit it needed, during a burst of new programs of one organisation.
+func TestStartedProgramsTakePrecedenceOverNewOnes(t *testing.T) {
+	bucket := fullBucket(limit20)
 	now := epoch
-	begun, refusedBegun, refusedNew := uint64(1), 0, 0
+	startedProgram, rejectedStarted, rejectedNew := uint64(1), 0, 0
 	for n := range 2000 {
 		now = now.Add(10 * time.Millisecond)
-		if n%5 == 0 { // 20 a second
-			if answer := bucket.Take(quota.Ask{Program: begun, New: true, Patience: 200 * time.Millisecond}, limit20, now); !answer.Granted {
-				refusedBegun++
+		if n%5 == 0 { // 20 per second
+			if response := bucket.Take(quota.Ask{Program: startedProgram, New: true, Patience: 200 * time.Millisecond}, limit20, now); !response.Granted {
+				rejectedStarted++
 			}
 		}
-		if n%4 == 0 { // 25 a second
-			if answer := bucket.Take(quota.Ask{Program: uint64(100 + n), New: true}, limit20, now); !answer.Granted {
-				refusedNew++
+		if n%4 == 0 { // 25 per second
+			if response := bucket.Take(quota.Ask{Program: uint64(100 + n), New: true}, limit20, now); !response.Granted {
+				rejectedNew++
 			}
 		}
 	}
-	assert.Zero(t, refusedBegun)
-	assert.Greater(t, refusedNew, 400)
+	assert.Zero(t, rejectedStarted)
+	assert.Greater(t, rejectedNew, 400)
 }
 
-// Guards against a request that waits for nothing: what cannot be had within
-// its patience is refused at once.
-func TestRequestWaitsOnlyForCreditThatComesInTime(t *testing.T) {
-	bucket := filled(limit20)
+// Guards against a request that waits in vain: if the credit does not accrue
+// within its maximum wait, the request is rejected at once.
+func TestRequestWaitsOnlyForCreditWithinMaxWait(t *testing.T) {
+	bucket := fullBucket(limit20)
 	drain(bucket, epoch)
-	answer := bucket.Take(quota.Ask{Program: 1, Patience: 100 * time.Millisecond}, limit20, epoch)
-	assert.True(t, answer.Granted)
-	assert.Equal(t, 50*time.Millisecond, answer.Wait)
-	answer = bucket.Take(quota.Ask{Program: 1, Patience: 90 * time.Millisecond}, limit20, epoch)
-	assert.False(t, answer.Granted)
+	response := bucket.Take(quota.Ask{Program: 1, Patience: 100 * time.Millisecond}, limit20, epoch)
+	assert.True(t, response.Granted)
+	assert.Equal(t, 50*time.Millisecond, response.Wait)
+	response = bucket.Take(quota.Ask{Program: 1, Patience: 90 * time.Millisecond}, limit20, epoch)
+	assert.False(t, response.Granted)
 }
 
-// Guards against a lower limit that does not hold, and against an older one
-// that comes back with a late question.
-func TestNewestLimitHolds(t *testing.T) {
-	bucket := filled(quota.Limit{Rate: 1000, Burst: 1000, Version: 1})
+// Guards against a lowered limit that is not enforced, and against an older
+// limit restored by a delayed request.
+func TestNewestLimitVersionApplies(t *testing.T) {
+	bucket := fullBucket(quota.Limit{Rate: 1000, Burst: 1000, Version: 1})
 	lower := quota.Limit{Rate: 5, Burst: 5, Version: 2}
 	granted := 0
 	for n := range 500 {
@@ -102,25 +103,25 @@
 			granted++
 		}
 	}
-	assert.LessOrEqual(t, granted, 53, "5 x 5 + 5, with 0.1 and 20 on top")
+	assert.LessOrEqual(t, granted, 53, "5 x 5 + 5, plus the overage of 0.1 and the slack of 20")
 }
 
-// Guards against credit given ahead that is not counted: several instances hold
-// some, and use it after the bucket is full again.
-func TestCreditGivenAheadCountsIntoTheDepth(t *testing.T) {
-	bucket := filled(limit20)
-	given := 0
+// Guards against credit granted ahead that is not counted: several instances
+// hold some, and use it after the bucket is full again.
+func TestCreditGrantedAheadCountsTowardsDepth(t *testing.T) {
+	bucket := fullBucket(limit20)
+	granted := 0
 	for n := range 10 {
-		given += bucket.Take(quota.Ask{Asker: fmt.Sprint("i", n), Spare: 100}, limit20, epoch).Spare
+		granted += bucket.Take(quota.Ask{Asker: fmt.Sprint("i", n), Spare: 100}, limit20, epoch).Spare
 	}
-	assert.Positive(t, given)
-	assert.LessOrEqual(t, given+drain(bucket, epoch.Add(time.Second))-20, 36)
-	assert.Equal(t, 36, drain(bucket, epoch.Add(10*time.Second)), "it is worth nothing after its time")
+	assert.Positive(t, granted)
+	assert.LessOrEqual(t, granted+drain(bucket, epoch.Add(time.Second))-20, 36)
+	assert.Equal(t, 36, drain(bucket, epoch.Add(10*time.Second)), "credit granted ahead is void once its lease expires")
 }
 
-// Guards against credit used after its time, when its home counts with it no
-// more.
-func TestCreditGivenAheadEnds(t *testing.T) {
+// Guards against the use of credit granted ahead after its lease has expired,
+// when the home no longer counts it.
+func TestCreditGrantedAheadExpires(t *testing.T) {
 	credit := &quota.Credit{}
 	assert.False(t, credit.Use(epoch))
 	ask := credit.Ask("i", quota.Request{})
@@ -131,7 +132,7 @@
 }
 
 func BenchmarkTake(b *testing.B) {
-	bucket := filled(limit20)
+	bucket := fullBucket(limit20)
 	now := epoch
 	for n := range b.N {
 		now = now.Add(time.Millisecond)
--- a/quota/credit.go
+++ b/quota/credit.go
@@ -6,81 +6,85 @@
 )
 
 const (
-	// demandTime is over which demand is averaged.
-	demandTime = 2 * time.Second
-	// mostSpare bounds credit ahead, in requests.
-	mostSpare = 256
+	// creditDemandTime is the time constant of the moving average of demand at
+	// one instance.
+	creditDemandTime = 2 * time.Second
+	// maxAhead bounds the credit that an instance holds ahead, in requests.
+	maxAhead = 256
 )
 
-// Request is one that needs credit.
+// Request is a caller request that needs credit.
 type Request struct {
-	// Program is a hash of its program, 0 for none; New tells that it begins it.
+	// Program is a hash of the program, 0 for none. New is set for the first
+	// request of the program.
 	Program uint64
 	New     bool
-	// Patience is how long it may wait.
+	// Patience is how long the request may wait for credit.
 	Patience time.Duration
 }
 
-// Credit is what one instance was given ahead of an organisation's quota. It is
-// not safe for concurrent use.
+// Credit is the credit of one organisation's quota that was granted ahead to
+// this instance. It is not safe for concurrent use.
 type Credit struct {
-	left  int
-	until time.Time
-	// demand is in requests a second, as of at.
+	remaining int
+	until     time.Time
+	// demand is the average rate of requests per second, as of at.
 	demand float64
 	at     time.Time
-	// returned is credit of requests that did not run.
+	// returned is the credit of requests that were not run, to be reported to
+	// the home.
 	returned int
-	// asking is set while an Ask for credit ahead is under way: of two at once
-	// the home could not tell what is left.
-	asking bool
+	// requesting is set while an Ask for credit ahead is in flight. With two in
+	// flight, the home could not determine the remaining credit.
+	requesting bool
 }
 
-// Use notes a request, and reports whether credit ahead covers it.
+// Use records a request, and reports whether the remaining credit covers it.
 func (credit *Credit) Use(now time.Time) bool {
-	passed := now.Sub(credit.at)
+	elapsed := now.Sub(credit.at)
 	if credit.at.IsZero() {
-		passed = demandTime
+		elapsed = creditDemandTime
 	}
 	credit.at = now
-	credit.demand = credit.demand*math.Exp(-passed.Seconds()/demandTime.Seconds()) + 1/demandTime.Seconds()
+	credit.demand = credit.demand*math.Exp(-elapsed.Seconds()/creditDemandTime.Seconds()) + 1/creditDemandTime.Seconds()
 	if !now.Before(credit.until) {
-		credit.left = 0
+		credit.remaining = 0
 	}
-	if credit.left == 0 {
+	if credit.remaining == 0 {
 		return false
 	}
-	credit.left--
+	credit.remaining--
 	return true
 }
 
-// Ask returns what to ask the home for a request that no credit covers.
-func (credit *Credit) Ask(asker string, request Request) Ask {
-	ask := Ask{Asker: asker, Program: request.Program, New: request.New, Patience: request.Patience, Left: -1, Returned: credit.returned}
+// Ask returns the request to send to the home for a caller request that the
+// remaining credit does not cover.
+func (credit *Credit) Ask(instance string, request Request) Ask {
+	creditRequest := Ask{Asker: instance, Program: request.Program, New: request.New, Patience: request.Patience, Left: -1, Returned: credit.returned}
 	credit.returned = 0
-	if !credit.asking {
-		credit.asking = true
-		ask.Left = credit.left
-		ask.Spare = max(min(int(credit.demand*LeaseTime.Seconds()), mostSpare)-credit.left, 0)
+	if !credit.requesting {
+		credit.requesting = true
+		creditRequest.Left = credit.remaining
+		creditRequest.Spare = max(min(int(credit.demand*LeaseTime.Seconds()), maxAhead)-credit.remaining, 0)
 	}
-	return ask
+	return creditRequest
 }
 
-// Take takes in the answer to an Ask sent at sent; the zero Answer if there was
-// none.
-func (credit *Credit) Take(ask Ask, answer Answer, sent time.Time) {
-	if ask.Left >= 0 {
-		credit.asking = false
+// Take applies the response to an Ask sent at sent. The response is the zero
+// Answer if none was received.
+func (credit *Credit) Take(request Ask, response Answer, sent time.Time) {
+	if request.Left >= 0 {
+		credit.requesting = false
 	}
-	if !answer.Granted || answer.Spare == 0 {
+	if !response.Granted || response.Spare == 0 {
 		return
 	}
 	until := sent.Add(LeaseTime)
-	credit.left += answer.Spare
+	credit.remaining += response.Spare
 	if until.After(credit.until) {
 		credit.until = until
 	}
 }
 
-// Return takes back the credit of a request that did not run.
+// Return records that the request of one credit was not run.
 func (credit *Credit) Return() { credit.returned++ }
--- a/quota/doc.go
+++ b/quota/doc.go
@@ -1,11 +1,13 @@
-// Package quota shares the quota of each organisation among all instances.
+// Package quota enforces the quota of each organisation across all instances.
 //
-// A token bucket for each organisation lies in the memory of one instance, its
-// home. Any other instance asks the home for each request, and is given some
-// credit ahead while there is plenty, by what its callers asked for of late.
-// All credit that exists, in the bucket and given out, is bounded by the
-// bucket's depth, and comes at the organisation's rate only: whatever dies,
-// freezes or is cut off, no window sees more than its rate for the window and
-// one depth. A home that starts anew begins with an empty bucket, since it
-// cannot know what the one before it gave out.
+// The token bucket of an organisation is held in memory by one instance, its
+// home, which is chosen by rendezvous hashing. Other instances request credit
+// from the home for each caller request. While the bucket is well filled, the
+// home grants further credit ahead of use, according to their recent demand.
+//
+// All existing credit, in the bucket and granted ahead, is bounded by the depth
+// of the bucket and refilled at the organisation's rate only. If instances
+// crash, are suspended or partitioned, no window therefore sees more than its
+// rate for the window plus one depth. A new home whose predecessor does not
+// report starts with an empty bucket, since the credit granted is unknown.
 package quota
--- a/quota/export_test.go
+++ b/quota/export_test.go
@@ -2,9 +2,9 @@
 
 import "time"
 
-// WaitFor sets how long the limiter waits for the bucket that another home
-// holds: in simulated time calls take none, however busy the machine is.
+// WaitFor sets how long the limiter waits for a bucket held by a previous home.
+// In simulated time calls take no time, whatever the load of the machine.
 func (limiter *Limiter) WaitFor(d time.Duration) { limiter.wait = d }
 
-// ToleranceShare is the share of what operators tolerate that one home may use.
+// ToleranceShare is the share of the tolerated excess that one home may use.
 const ToleranceShare = toleranceShare
--- a/quota/fleet_test.go
+++ b/quota/fleet_test.go
@@ -21,13 +21,14 @@
 	"github.com/wagtaildrum/wagtaildrum/quota"
 )
 
-var seeds = flag.Int("quota.seeds", 12, "seeds of the fleet that is played")
+var seeds = flag.Int("quota.seeds", 12, "number of seeds for the simulated fleets")
 
-var errUnreached = errors.New("no answer")
+var errUnreachable = errors.New("no response")
 
 var tolerance = quota.Tolerance{Window: 5 * time.Second, Overage: 0.1, Slack: 20}
 
-// fleet is instances in simulated time that share the quotas of organisations.
+// fleet is a set of instances in simulated time that share the quotas of
+// organisations.
 type fleet struct {
 	t         *testing.T
 	random    *rand.Rand
@@ -37,48 +38,54 @@
 	changes   map[string][]change
 	sent      map[string][]time.Time
 	refused   int
-	// isProcessOnly: the machine of an instance that died answers for it.
-	isProcessOnly bool
-	// isCalm: no instance freezes or is cut off, and no answer is lost.
-	isCalm bool
-	// leavesOut: an instance that was not reached is left out for a second, as
-	// after other calls than those for quotas. One whose process has ended always is.
-	leavesOut bool
-	// mute are pairs of instances of which the first does not reach the second,
-	// deaf those of which the first does not hear the second's answers to
-	// questions. asks counts questions by pair.
-	mute, deaf map[[2]string]bool
-	asks       map[[2]string]int
-	// mu guards what calls of one instance that run at once share.
+	// hostResponds is set if the machine of a crashed instance still responds,
+	// and reports that its process does not run.
+	hostResponds bool
+	// isReliable is set if no instance is suspended or partitioned, and no
+	// response is lost.
+	isReliable bool
+	// excludesUnreachable is set if an unreachable instance is left out of the
+	// candidates for a second, as after failures of calls other than those for
+	// quotas. An instance reported as not running is always left out.
+	excludesUnreachable bool
+	// blocked holds the pairs of instances of which the first can't reach the
+	// second, responseLost those of which the first does not receive the
+	// second's responses to credit requests. requests counts credit requests by
+	// pair.
+	blocked, responseLost map[[2]string]bool
+	requests              map[[2]string]int
+	// mu guards the state shared by concurrent calls of one instance.
 	mu     sync.Mutex
 	events []string
 }
 
-// change is a limit from a time on.
+// change is a limit and the time from which it applies.
 type change struct {
 	at    time.Time
 	limit quota.Limit
 }
 
-// member is one instance: an address at which starts follow one another.
+// member is one instance: an address with successive incarnations.
 type member struct {
 	fleet   *fleet
 	name    string
 	limiter *quota.Limiter
-	// dead, frozen and cut are states; left is one that stopped as planned and
-	// took its entry away.
-	// stopping still answers.
-	dead, frozen, cut, stopping, left bool
-	// known is who is in the list as far as this instance knows, news what it
-	// learns when.
-	known   map[string]bool
-	joined  map[string]time.Time
-	changed time.Time
-	// unreached are those that did not answer, until when they are left out.
-	unreached map[string]time.Time
-	news      []news
+	// crashed, suspended and partitioned are states of the instance. An
+	// instance that is stopping still responds; one that departed has stopped
+	// as planned and removed its entry.
+	crashed, suspended, partitioned, stopping, departed bool
+	// members is the membership as this instance has recorded it, news the
+	// updates that it has yet to receive.
+	members           map[string]bool
+	joined            map[string]time.Time
+	membershipChanged time.Time
+	// unreachableUntil holds, for unresponsive instances, the time until which
+	// they are left out of the candidates.
+	unreachableUntil map[string]time.Time
+	news             []news
 }
 
+// news is one update of the membership, and the time at which it is received.
 type news struct {
 	at     time.Time
 	name   string
@@ -86,8 +93,8 @@
 }
 
 func newFleet(t *testing.T, seed uint64, size int) *fleet {
-	f := &fleet{t: t, isProcessOnly: seed%2 == 1, random: rand.New(rand.NewPCG(seed, 7)), clock: clock.NewFake(time.Unix(1_000_000, 0)),
-		limits: map[string]quota.Limit{}, changes: map[string][]change{}, sent: map[string][]time.Time{}, mute: map[[2]string]bool{}, deaf: map[[2]string]bool{}, asks: map[[2]string]int{}}
+	f := &fleet{t: t, hostResponds: seed%2 == 1, random: rand.New(rand.NewPCG(seed, 7)), clock: clock.NewFake(time.Unix(1_000_000, 0)),
+		limits: map[string]quota.Limit{}, changes: map[string][]change{}, sent: map[string][]time.Time{}, blocked: map[[2]string]bool{}, responseLost: map[[2]string]bool{}, requests: map[[2]string]int{}}
 	for i := range size {
 		f.instances = append(f.instances, &member{fleet: f, name: fmt.Sprint("i", i)})
 	}
@@ -97,75 +104,80 @@
 	return f
 }
 
-func (f *fleet) note(format string, args ...any) {
+// record adds an event to the log that is printed when a check fails.
+func (f *fleet) record(format string, args ...any) {
 	f.events = append(f.events, f.clock.Now().Format("05.000 ")+fmt.Sprintf(format, args...))
 }
 
+// limit sets the limit of an organisation in a new version.
 func (f *fleet) limit(organisation string, rate, burst float64) {
 	limit := quota.Limit{Rate: rate, Burst: burst, Version: f.limits[organisation].Version + 1}
 	f.limits[organisation] = limit
 	f.changes[organisation] = append(f.changes[organisation], change{at: f.clock.Now(), limit: limit})
-	f.note("limit of %s: %v", organisation, limit)
+	f.record("limit of %s: %v", organisation, limit)
 }
 
-// start is a new start of the instance: it reads the list and enters itself.
+// start begins a new incarnation of the instance: it reads the membership and
+// adds its entry.
 func (m *member) start() {
-	m.dead, m.frozen, m.stopping, m.left = false, false, false, false
-	m.joined, m.unreached = map[string]time.Time{}, map[string]time.Time{}
-	m.known, m.news, m.changed = map[string]bool{}, nil, m.fleet.clock.Now()
+	m.crashed, m.suspended, m.stopping, m.departed = false, false, false, false
+	m.joined, m.unreachableUntil = map[string]time.Time{}, map[string]time.Time{}
+	m.members, m.news, m.membershipChanged = map[string]bool{}, nil, m.fleet.clock.Now()
 	for _, other := range m.fleet.instances {
-		if other.limiter != nil && !other.left {
-			m.known[other.name] = true
+		if other.limiter != nil && !other.departed {
+			m.members[other.name] = true
 		}
 	}
-	m.known[m.name] = true
+	m.members[m.name] = true
 	m.limiter = quota.NewLimiter(m, tolerance, m.fleet.clock, slog.New(slog.DiscardHandler), tally.NoopScope)
 	m.limiter.WaitFor(time.Hour)
-	m.fleet.tell(m, true)
+	m.fleet.announce(m, true)
 }
 
-// tell lets all others learn within half a second that m joined or left.
-func (f *fleet) tell(m *member, joined bool) {
+// announce notifies all other instances within half a second that m joined or
+// left.
+func (f *fleet) announce(m *member, joined bool) {
 	for _, other := range f.instances {
 		if other != m && other.limiter != nil {
 			at := f.clock.Now().Add(time.Duration(f.random.IntN(500)) * time.Millisecond)
 			if n := len(other.news); n > 0 && other.news[n-1].at.After(at) {
-				at = other.news[n-1].at // news come in order
+				at = other.news[n-1].at // updates arrive in order
 			}
 			other.news = append(other.news, news{at: at, name: m.name, joined: joined})
 		}
 	}
 }
 
-// learn takes in what is known by now.
-func (m *member) learn() {
+// applyNews applies the updates that are due.
+func (m *member) applyNews() {
 	now := m.fleet.clock.Now()
 	m.news = slices.DeleteFunc(m.news, func(n news) bool {
-		if n.at.After(now) || m.cut {
+		if n.at.After(now) || m.partitioned {
 			return false
 		}
 		if n.joined {
-			m.known[n.name] = true
+			m.members[n.name] = true
 			m.joined[n.name] = now
-			delete(m.unreached, n.name)
+			delete(m.unreachableUntil, n.name)
 		} else {
-			delete(m.known, n.name)
+			delete(m.members, n.name)
 		}
-		m.changed = now
+		m.membershipChanged = now
 		return true
 	})
 }
 
+// reaches reports whether a call from m to other succeeds.
 func (m *member) reaches(other *member) bool {
-	return !other.dead && !other.frozen && !other.left && !other.cut && !m.cut && !m.dead && !m.frozen
+	return !other.crashed && !other.suspended && !other.departed && !other.partitioned && !m.partitioned && !m.crashed && !m.suspended
 }
 
 // Homes implements quota.Peers.
 func (m *member) Homes(organisation string, all bool) []string {
-	m.learn()
+	m.applyNews()
 	var names []string
-	for name := range m.known {
-		if all || !m.fleet.clock.Now().Before(m.unreached[name]) {
+	for name := range m.members {
+		if all || !m.fleet.clock.Now().Before(m.unreachableUntil[name]) {
 			names = append(names, name)
 		}
 	}
@@ -185,42 +197,43 @@
 func (m *member) Joined(name string) time.Time { return m.joined[name] }
 
 // Settled implements quota.Peers.
-func (m *member) Settled() time.Duration { return m.fleet.clock.Now().Sub(m.changed) }
+func (m *member) Settled() time.Duration { return m.fleet.clock.Now().Sub(m.membershipChanged) }
 
+// peer returns the instance with the name, or the error of a call to it.
 func (m *member) peer(name string) (*member, error) {
-	if m.fleet.mute[[2]string{m.name, name}] {
-		return nil, errUnreached
+	if m.fleet.blocked[[2]string{m.name, name}] {
+		return nil, errUnreachable
 	}
 	for _, other := range m.fleet.instances {
 		if other.name == name && m.reaches(other) {
-			other.learn()
+			other.applyNews()
 			return other, nil
 		}
 	}
 	for _, other := range m.fleet.instances {
-		if other.name == name && (other.dead || other.left) && !other.cut && !m.cut && m.fleet.isProcessOnly {
+		if other.name == name && (other.crashed || other.departed) && !other.partitioned && !m.partitioned && m.fleet.hostResponds {
 			return nil, quota.ErrNotRunning
 		}
 	}
-	return nil, errUnreached
+	return nil, errUnreachable
 }
 
 // AskCredit implements quota.Peers.
-func (m *member) AskCredit(ctx context.Context, name string, question quota.Question) (quota.Answer, error) {
+func (m *member) AskCredit(ctx context.Context, name string, request quota.Question) (quota.Answer, error) {
 	other, err := m.peer(name)
 	if err != nil {
-		if m.fleet.leavesOut || errors.Is(err, quota.ErrNotRunning) {
-			m.unreached[name] = m.fleet.clock.Now().Add(time.Second)
+		if m.fleet.excludesUnreachable || errors.Is(err, quota.ErrNotRunning) {
+			m.unreachableUntil[name] = m.fleet.clock.Now().Add(time.Second)
 		}
 		return quota.Answer{}, err
 	}
-	delete(m.unreached, name)
-	m.fleet.asks[[2]string{m.name, name}]++
-	answer, err := other.limiter.Answer(ctx, question)
-	if m.fleet.deaf[[2]string{m.name, name}] || !m.fleet.isCalm && m.fleet.random.IntN(200) == 0 {
-		return quota.Answer{}, errUnreached // the answer is lost
+	delete(m.unreachableUntil, name)
+	m.fleet.requests[[2]string{m.name, name}]++
+	response, err := other.limiter.Answer(ctx, request)
+	if m.fleet.responseLost[[2]string{m.name, name}] || !m.fleet.isReliable && m.fleet.random.IntN(200) == 0 {
+		return quota.Answer{}, errUnreachable // the response is lost
 	}
-	return answer, err
+	return response, err
 }
 
 // HandOver implements quota.Peers.
@@ -231,34 +244,34 @@
 	if err != nil {
 		return quota.Transfer{}, err
 	}
-	other.known[m.name] = true // it tells who it is
-	given, err := other.limiter.Transfer(transfer)
+	other.members[m.name] = true // the sender names itself
+	response, err := other.limiter.Transfer(transfer)
 	if err != nil {
 		return quota.Transfer{}, err
 	}
-	if !m.fleet.isCalm && len(transfer.Wanted) > 0 && m.fleet.random.IntN(200) == 0 {
-		return quota.Transfer{}, errUnreached // the answer is lost
+	if !m.fleet.isReliable && len(transfer.Wanted) > 0 && m.fleet.random.IntN(200) == 0 {
+		return quota.Transfer{}, errUnreachable // the response is lost
 	}
-	return given, nil
+	return response, nil
 }
 
-// beat has all that run notice the time.
-func (f *fleet) beat() {
+// heartbeat updates all running instances to the current time.
+func (f *fleet) heartbeat() {
 	for _, m := range f.instances {
-		if !m.dead && !m.frozen && !m.left {
-			m.learn()
-			m.limiter.Beat()
+		if !m.crashed && !m.suspended && !m.departed {
+			m.applyNews()
+			m.limiter.Heartbeat()
 			m.limiter.Probe(context.Background())
 		}
 	}
 }
 
-// request has a caller of an organisation come to an instance.
+// request sends a caller request of an organisation to an instance.
 func (f *fleet) request(organisation string, m *member) {
-	if m.dead || m.frozen || m.left || m.stopping {
+	if m.crashed || m.suspended || m.departed || m.stopping {
 		return
 	}
-	m.learn()
+	m.applyNews()
 	request := quota.Request{Program: uint64(f.random.IntN(8)), New: f.random.IntN(4) == 0, Patience: time.Duration(f.random.IntN(400)) * time.Millisecond}
 	wait, err := m.limiter.Take(context.Background(), organisation, f.limits[organisation], request)
 	if err != nil {
@@ -266,14 +279,14 @@
 		return
 	}
 	if f.random.IntN(20) == 0 {
-		m.limiter.Return(organisation) // refused by its endpoint
+		m.limiter.Return(organisation) // rejected by its endpoint
 		return
 	}
 	f.sent[organisation] = append(f.sent[organisation], f.clock.Now().Add(wait))
 }
 
-// check looks at every window of the quotas. A limit binds a window after it
-// was lowered.
+// check verifies the quota in every window. A lowered limit applies to windows
+// that begin after the change.
 func (f *fleet) check(organisation string) {
 	sent := f.sent[organisation]
 	slices.SortFunc(sent, func(a, b time.Time) int { return a.Compare(b) })
@@ -283,7 +296,7 @@
 		for !sent[first].After(at.Add(-tolerance.Window)) {
 			first++
 		}
-		most := 0.0
+		allowed := 0.0
 		for n, c := range f.changes[organisation] {
 			until := at.Add(time.Hour)
 			if n+1 < len(f.changes[organisation]) {
@@ -293,13 +306,13 @@
 				continue
 			}
 			share := 1.0
-			if f.isCalm {
+			if f.isReliable {
 				share = quota.ToleranceShare
 			}
-			most = max(most, (c.limit.Rate*tolerance.Window.Seconds()+c.limit.Burst)*(1+share*tolerance.Overage)+share*tolerance.Slack)
+			allowed = max(allowed, (c.limit.Rate*tolerance.Window.Seconds()+c.limit.Burst)*(1+share*tolerance.Overage)+share*tolerance.Slack)
 		}
-		if over := float64(i-first+1) - most; over > worst.over {
-			worst = excess{over: over, from: sent[first], to: at, most: most}
+		if over := float64(i-first+1) - allowed; over > worst.over {
+			worst = excess{over: over, from: sent[first], to: at, allowed: allowed}
 		}
 	}
 	if worst.over > 0 {
@@ -307,89 +320,91 @@
 			f.t.Log(event)
 		}
 	}
-	require.LessOrEqual(f.t, worst.over, 0.0, "requests of %s above %.1f from %s to %s", organisation, worst.most, worst.from.Format("05.000"), worst.to.Format("05.000"))
+	require.LessOrEqual(f.t, worst.over, 0.0, "requests of %s above the allowed %.1f from %s to %s", organisation, worst.allowed, worst.from.Format("05.000"), worst.to.Format("05.000"))
 }
 
-// excess is a window with more requests than allowed.
+// excess is a window with more requests than allowed, and their number above
+// the limit.
 type excess struct {
-	over, most float64
-	from, to   time.Time
+	over, allowed float64
+	from, to      time.Time
 }
 
-// trouble is one thing that happens to an instance, and its end.
-func (f *fleet) trouble(m *member) {
+// injectFault makes an instance fail or stop, or ends its fault.
+func (f *fleet) injectFault(m *member) {
 	kind := f.random.IntN(7)
-	if f.isCalm && (kind == 1 || kind == 2) {
+	if f.isReliable && (kind == 1 || kind == 2) {
 		return
 	}
 	switch kind {
 	case 0:
-		f.note("%s dies", m.name)
-		m.dead = true
+		f.record("%s crashes", m.name)
+		m.crashed = true
 	case 1:
-		f.note("%s freezes", m.name)
-		m.frozen = !m.dead && !m.left
+		f.record("%s is suspended", m.name)
+		m.suspended = !m.crashed && !m.departed
 	case 2:
-		f.note("%s is cut off", m.name)
-		m.cut = true
+		f.record("%s is partitioned", m.name)
+		m.partitioned = true
 	case 3, 4:
-		if m.dead || m.frozen || m.left || m.stopping {
+		if m.crashed || m.suspended || m.departed || m.stopping {
 			return
 		}
-		f.note("%s stops", m.name)
+		f.record("%s starts to stop", m.name)
 		m.limiter.Stop(context.Background())
 		m.stopping = true
 	default:
-		f.end(m)
+		f.endFault(m)
 	}
 }
 
-// end ends what troubles an instance.
-func (f *fleet) end(m *member) {
+// endFault ends the fault of an instance.
+func (f *fleet) endFault(m *member) {
 	switch {
-	case m.stopping && !m.left && !m.dead && !m.frozen:
-		f.note("%s leaves", m.name)
-		m.left = true
-		f.tell(m, false)
-	case m.dead || m.left:
-		f.note("%s starts", m.name)
+	case m.stopping && !m.departed && !m.crashed && !m.suspended:
+		f.record("%s has stopped and leaves", m.name)
+		m.departed = true
+		f.announce(m, false)
+	case m.crashed || m.departed:
+		f.record("%s starts", m.name)
 		m.start()
-	case m.frozen:
-		f.note("%s wakes", m.name)
-		m.frozen = false
-	case m.cut:
-		f.note("%s is back", m.name)
-		m.cut = false
+	case m.suspended:
+		f.record("%s resumes after suspension", m.name)
+		m.suspended = false
+	case m.partitioned:
+		f.record("%s is reachable again", m.name)
+		m.partitioned = false
 	}
 }
 
 // Guards against more requests of an organisation in any window than its quota
-// and what operators tolerate above: instances die, freeze, are cut off, stop
-// and join, answers are lost, all lose power at once, limits are raised and
-// lowered, while callers ask for much more than the quota, in bursts.
-func TestNoWindowSeesMoreThanItsQuota(t *testing.T) {
+// and the tolerance. Instances crash, are suspended or partitioned, stop and
+// join; responses are lost; all instances lose power at once; limits are raised
+// and lowered. Callers request much more than the quota, in bursts.
+func TestNoWindowExceedsQuotaAndTolerance(t *testing.T) {
 	for seed := range *seeds {
-		t.Run(fmt.Sprint(seed), func(t *testing.T) { newFleet(t, uint64(seed), 4+seed%9).play() })
+		t.Run(fmt.Sprint(seed), func(t *testing.T) { newFleet(t, uint64(seed), 4+seed%9).simulate() })
 	}
 }
 
-// Guards against what the last part of the tolerance hides, which is there for the
-// time in which two instances take themselves for the home: while all that run are
-// in reach there is one, and no window sees more than its bucket gives.
-func TestNoWindowSeesMoreThanOneBucketGives(t *testing.T) {
+// Guards against faults hidden by the share of the tolerance that covers the
+// time in which two instances act as the home. While all running instances are
+// reachable there is a single home, and no window may exceed what its bucket
+// grants.
+func TestNoWindowExceedsOneBucketWithoutPartitions(t *testing.T) {
 	for seed := range *seeds {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			f := newFleet(t, uint64(seed), 4+seed%9)
-			f.isCalm = true
-			f.play()
+			f.isReliable = true
+			f.simulate()
 		})
 	}
 }
 
-// play has callers ask for much more than their quotas in bursts, amid troubles, and
-// checks every window.
-func (f *fleet) play() {
-	f.leavesOut = true
+// simulate sends bursts of requests far above the quotas while it injects
+// faults, and checks every window.
+func (f *fleet) simulate() {
+	f.excludesUnreachable = true
 	organisations := []string{"small", "middle", "large"}
 	for i, organisation := range organisations {
 		rate := []float64{5, 20, 200}[i]
@@ -397,7 +412,7 @@
 	}
 	for range 600 {
 		f.clock.Advance(time.Duration(5+f.random.IntN(95)) * time.Millisecond)
-		f.beat()
+		f.heartbeat()
 		for _, organisation := range organisations {
 			wanted := 0.05 * f.limits[organisation].Rate * []float64{0.3, 1, 4, 9}[f.random.IntN(4)]
 			for range int(wanted + f.random.Float64()) {
@@ -407,9 +422,9 @@
 		m := f.instances[f.random.IntN(len(f.instances))]
 		switch n := f.random.IntN(1000); {
 		case n < 40:
-			f.trouble(m)
+			f.injectFault(m)
 		case n < 120:
-			f.end(m)
+			f.endFault(m)
 		case n == 120:
 			f.losePower()
 		case n < 124:
@@ -425,11 +440,11 @@
 	require.NotZero(f.t, f.refused)
 }
 
-// losePower ends all instances, and starts them again soon after.
+// losePower crashes all instances, and restarts them soon after.
 func (f *fleet) losePower() {
-	f.note("all lose power")
+	f.record("power loss of all instances")
 	for _, m := range f.instances {
-		m.dead = true
+		m.crashed = true
 	}
 	f.clock.Advance(time.Duration(f.random.IntN(1500)) * time.Millisecond)
 	for _, m := range f.instances {
--- a/quota/guard_test.go
+++ b/quota/guard_test.go
@@ -11,8 +11,7 @@
 	"github.com/wagtaildrum/wagtaildrum/quota"
 )
 
-// drainAt takes credit of x at each of members until there is none, and returns how
-// much that was.
+// drainAt takes all credit of x at each of members, and returns its amount.
 func (f *fleet) drainAt(members ...*member) (granted int) {
 	for _, m := range members {
 		for f.take(m) == nil {
@@ -22,112 +21,115 @@
 	return granted
 }
 
-// drainFor drains members all the while that d passes.
+// drainFor drains members repeatedly while d passes, and returns the amount of
+// credit taken.
 func (f *fleet) drainFor(d time.Duration, members ...*member) (granted int) {
 	for range d / (50 * time.Millisecond) {
-		f.pass(50 * time.Millisecond)
+		f.advance(50 * time.Millisecond)
 		granted += f.drainAt(members...)
 	}
 	return granted
 }
 
-// calm returns a settled fleet in which no answer is lost by chance.
-func calm(t *testing.T) (*fleet, []*member) {
-	f, order := settled(t)
-	f.isCalm = true
+// reliableFleet returns a settled fleet in which no response is lost at random.
+func reliableFleet(t *testing.T) (*fleet, []*member) {
+	f, order := settledFleet(t)
+	f.isReliable = true
 	return f, order
 }
 
-// cutFrom sets whether each of members reaches to.
-func (f *fleet) cutFrom(to *member, isCut bool, members ...*member) {
+// setBlocked sets whether calls from each of members to the instance to fail.
+func (f *fleet) setBlocked(to *member, isBlocked bool, members ...*member) {
 	for _, m := range members {
-		f.mute[[2]string{m.name, to.name}] = isCut
+		f.blocked[[2]string{m.name, to.name}] = isBlocked
 	}
 }
 
-// Guards against a quota given out twice: the bucket that another home took stays
-// with the home before.
-func TestBucketLeavesWithWhoTakesIt(t *testing.T) {
-	f, order := calm(t)
+// Guards against a quota granted twice: the previous home keeps a bucket that
+// it has transferred to another.
+func TestTransferredBucketIsNotTransferredAgain(t *testing.T) {
+	f, order := reliableFleet(t)
 	require.NoError(t, f.take(order[0]))
-	given, err := order[0].limiter.Transfer(quota.Transfer{From: order[1].name, Wanted: []string{"x"}})
+	response, err := order[0].limiter.Transfer(quota.Transfer{From: order[1].name, Wanted: []string{"x"}})
 	require.NoError(t, err)
-	assert.Contains(t, given.Balances, "x")
-	given, err = order[0].limiter.Transfer(quota.Transfer{From: order[2].name, Wanted: []string{"x"}})
+	assert.Contains(t, response.Balances, "x")
+	response, err = order[0].limiter.Transfer(quota.Transfer{From: order[2].name, Wanted: []string{"x"}})
 	require.NoError(t, err)
-	assert.Empty(t, given.Balances)
-	assert.Equal(t, map[string]string{"x": order[1].name}, given.Moved)
+	assert.Empty(t, response.Balances)
+	assert.Equal(t, map[string]string{"x": order[1].name}, response.Moved)
 }
 
-// Guards against a quota given out twice: an instance that was suspended goes on with
-// the bucket of before, which another one has stood in for.
-func TestSuspendedHomeGoesOnWithNothing(t *testing.T) {
-	f, order := calm(t)
+// Guards against a quota granted twice: a suspended instance resumes with its
+// old bucket, while a fallback home has granted the same credit.
+func TestHomeIsEmptyAfterSuspension(t *testing.T) {
+	f, order := reliableFleet(t)
 	require.NoError(t, f.take(order[0]))
-	order[0].frozen = true
+	order[0].suspended = true
 	f.drainFor(3*time.Second, order[1], order[2])
-	order[0].frozen = false
-	assert.LessOrEqual(t, f.drainAt(order[0]), 1, "the other one gave out all that came")
+	order[0].suspended = false
+	assert.LessOrEqual(t, f.drainAt(order[0]), 1, "the fallback home granted all accrued credit")
 }
 
-// Guards against two homes at once, each with the whole rate: one that does not reach
-// the home takes over, though others do.
-func TestInstanceThatAloneDoesNotReachTheHomeIsNoHome(t *testing.T) {
-	f, order := calm(t)
+// Guards against two homes at once, each with the full rate: an instance that
+// can't reach the home takes over, though other instances reach it.
+func TestUnconfirmedSuspicionDoesNotMoveHome(t *testing.T) {
+	f, order := reliableFleet(t)
 	f.drainAt(order[0])
-	f.cutFrom(order[0], true, order[1])
-	assert.InDelta(t, 60, f.drainFor(3*time.Second, order[0], order[1]), 4, "the rate, once")
+	f.setBlocked(order[0], true, order[1])
+	assert.InDelta(t, 60, f.drainFor(3*time.Second, order[0], order[1]), 4, "the refill rate, granted once")
 }
 
-// Guards against two homes at once, each with the whole rate: an instance that does
-// not reach the home by any call, though others do, leaves it out and takes over.
-func TestInstanceThatLeavesTheHomeOutIsNoHome(t *testing.T) {
-	f, order := calm(t)
-	f.leavesOut = true
+// Guards against two homes at once, each with the full rate: an instance that
+// can't reach the home by any call leaves it out of the candidates and takes
+// over, though other instances reach it.
+func TestExcludedHomeIsNotReplacedWithoutConfirmation(t *testing.T) {
+	f, order := reliableFleet(t)
+	f.excludesUnreachable = true
 	f.drainAt(order[0])
-	f.cutFrom(order[0], true, order[1])
-	assert.InDelta(t, 60, f.drainFor(3*time.Second, order[0], order[1]), 4, "the rate, once")
+	f.setBlocked(order[0], true, order[1])
+	assert.InDelta(t, 60, f.drainFor(3*time.Second, order[0], order[1]), 4, "the refill rate, granted once")
 }
 
-// Guards against two homes at once for as long as a suspicion lasts: an instance
-// stands in for a home that is in reach again, and nobody tells it.
-func TestInstanceThatStandsInLooksWhetherTheHomeIsBack(t *testing.T) {
-	f, order := calm(t)
-	cut := func(isCut bool) {
+// Guards against two homes for the duration of a suspicion: an instance
+// continues as fallback although the home is reachable again, because it is not
+// notified.
+func TestFallbackHomeYieldsWhenHomeIsReachableAgain(t *testing.T) {
+	f, order := reliableFleet(t)
+	partition := func(isBlocked bool) {
 		for _, m := range order[1:] {
-			f.cutFrom(order[0], isCut, m)
-			f.cutFrom(m, isCut, order[0])
+			f.setBlocked(order[0], isBlocked, m)
+			f.setBlocked(m, isBlocked, order[0])
 		}
 	}
 	f.drainAt(order[0])
-	cut(true)
-	f.drainFor(1500*time.Millisecond, f.instances...) // the others still ask the home
-	cut(false)
+	partition(true)
+	f.drainFor(1500*time.Millisecond, f.instances...) // the others still call the home
+	partition(false)
 	f.drainFor(500*time.Millisecond, f.instances...)
-	assert.InDelta(t, 40, f.drainFor(2*time.Second, f.instances...), 4, "the rate, once")
+	assert.InDelta(t, 40, f.drainFor(2*time.Second, f.instances...), 4, "the refill rate, granted once")
 }
 
-// Guards against questions that go to the next instance for eight seconds more, since
-// the home did not answer before it started again.
-func TestNewStartOfASuspectIsAsked(t *testing.T) {
-	f, order := calm(t)
-	f.isProcessOnly = false
-	order[0].dead = true
+// Guards against requests that go to the next candidate for eight more seconds
+// because the home did not respond before its restart.
+func TestRestartEndsSuspicion(t *testing.T) {
+	f, order := reliableFleet(t)
+	f.hostResponds = false
+	order[0].crashed = true
 	for range 4 {
-		_ = f.take(order[2]) // order[0] is suspected
+		_ = f.take(order[2]) // order[0] becomes a suspect
 	}
 	order[0].start()
-	f.pass(600 * time.Millisecond) // all know
-	asked := [2]string{order[2].name, order[0].name}
-	before := f.asks[asked]
-	_ = f.take(order[2]) // the new start may have nothing yet
-	assert.Equal(t, before+1, f.asks[asked])
+	f.advance(600 * time.Millisecond) // all instances are notified
+	pair := [2]string{order[2].name, order[0].name}
+	before := f.requests[pair]
+	_ = f.take(order[2]) // the new incarnation may have no credit yet
+	assert.Equal(t, before+1, f.requests[pair])
 }
 
-// Guards against credit that is counted twice when it is returned: the home took it
-// in, its answer was lost, and the question is asked again through another instance.
-func TestCreditIsReturnedOnce(t *testing.T) {
-	f, order := calm(t)
+// Guards against returned credit that is counted twice: the home applies it,
+// its response is lost, and the request is retried through another instance.
+func TestReturnedCreditIsCountedOnce(t *testing.T) {
+	f, order := reliableFleet(t)
 	f.drainAt(order[2])
 	f.clock.Advance(500 * time.Millisecond)
 	returned := f.drainAt(order[2])
@@ -135,9 +137,9 @@
 	for range returned {
 		order[2].limiter.Return("x")
 	}
-	f.deaf[[2]string{order[2].name, order[0].name}] = true
+	f.responseLost[[2]string{order[2].name, order[0].name}] = true
 	first := f.take(order[2])
-	f.deaf[[2]string{order[2].name, order[0].name}] = false
+	f.responseLost[[2]string{order[2].name, order[0].name}] = false
 	granted := f.drainAt(order[0], order[1], order[2])
 	if first == nil {
 		granted++
@@ -145,52 +147,53 @@
 	assert.LessOrEqual(t, granted, returned+1)
 }
 
-// Guards against more than the quota while it moves from a home that has ended: what
-// that one gave ahead, and what it promised of the time to come, is not known.
-func TestHomeAfterAnEndedOneBeginsWithADebt(t *testing.T) {
-	f, order := calm(t)
+// Guards against an exceeded quota after the home has crashed: the credit that
+// it granted ahead, and the credit that it granted before its refill, are
+// unknown.
+func TestHomeAfterCrashStartsWithDebt(t *testing.T) {
+	f, order := reliableFleet(t)
 	require.NoError(t, f.take(order[2]))
-	order[0].dead = true
+	order[0].crashed = true
 	require.Error(t, f.take(order[2]))
 	assert.Zero(t, f.drainFor(quota.MostPatience-50*time.Millisecond, order[1], order[2]))
 }
 
-// Guards against a bucket that was used while another instance was out of reach, and
-// is found full when that happens again.
-func TestBucketOfAnEarlierAbsenceIsNotUsedAgain(t *testing.T) {
-	f, order := calm(t)
+// Guards against the reuse of a bucket from an earlier time as fallback home,
+// which appears full when the home becomes unreachable again.
+func TestBucketOfEarlierFallbackIsNotReused(t *testing.T) {
+	f, order := reliableFleet(t)
 	require.NoError(t, f.take(order[0]))
-	f.cutFrom(order[0], true, order[1], order[2])
-	require.NotZero(t, f.drainFor(time.Second, order[1]), "it stands in")
-	f.cutFrom(order[0], false, order[1], order[2])
-	f.pass(time.Second)
-	require.NoError(t, f.take(order[1]), "the home answers")
-	f.pass(5 * time.Second)
+	f.setBlocked(order[0], true, order[1], order[2])
+	require.NotZero(t, f.drainFor(time.Second, order[1]), "it acts as the fallback home")
+	f.setBlocked(order[0], false, order[1], order[2])
+	f.advance(time.Second)
+	require.NoError(t, f.take(order[1]), "the home responds")
+	f.advance(5 * time.Second)
 	f.drainAt(order[0])
-	order[0].dead = true
-	assert.LessOrEqual(t, f.drainAt(order[1], order[2]), 1, "the home had given out all")
+	order[0].crashed = true
+	assert.LessOrEqual(t, f.drainAt(order[1], order[2]), 1, "the home had granted all credit")
 }
 
-// Guards against a bucket that fills up beside what it gave ahead: instances then use
-// both within one window.
-func TestCreditGivenAheadIsPartOfAFullBucket(t *testing.T) {
+// Guards against a bucket that refills to its full depth beside the credit
+// granted ahead, so that instances use both within one window.
+func TestFullBucketIncludesCreditGrantedAhead(t *testing.T) {
 	limit := quota.Limit{Rate: 200, Burst: 200, Version: 1}
-	bucket := filled(limit)
+	bucket := fullBucket(limit)
 	now := time.Unix(1_000_000, 0).Add(time.Hour)
 	bucket.Level(now)
-	answer := bucket.Take(quota.Ask{Asker: "i", Left: 0, Spare: 100}, limit, now)
-	require.Equal(t, 100, answer.Spare)
+	response := bucket.Take(quota.Ask{Asker: "i", Left: 0, Spare: 100}, limit, now)
+	require.Equal(t, 100, response.Spare)
 	full := tolerance.Depth(limit)
 	assert.InDelta(t, full-100, bucket.Level(now.Add(quota.LeaseTime)), 0.01)
 	assert.InDelta(t, full, bucket.Level(now.Add(3*quota.LeaseTime)), 0.01)
 }
 
-// Guards against requests given out while no other instance is in reach.
-func TestCutOffInstanceGivesNothing(t *testing.T) {
-	f, order := calm(t)
+// Guards against requests granted while no other instance is reachable.
+func TestPartitionedInstanceGrantsNothing(t *testing.T) {
+	f, order := reliableFleet(t)
 	require.NoError(t, f.take(order[0]))
-	order[0].cut = true
-	f.pass(500 * time.Millisecond)
+	order[0].partitioned = true
+	f.advance(500 * time.Millisecond)
 	_, err := order[0].limiter.Take(context.Background(), "x", f.limits["x"], quota.Request{})
 	require.Error(t, err)
 }
--- a/quota/handover.go
+++ b/quota/handover.go
@@ -8,102 +8,107 @@
 	"time"
 )
 
-// taker is an instance that took a bucket.
-type taker struct {
-	by string
-	at time.Time
+// recipient is the instance to which a bucket was transferred, and the time.
+type recipient struct {
+	instance string
+	at       time.Time
 }
 
-// homeBucket is a bucket that lies here.
-type homeBucket struct {
-	// opening is held while the home before is asked for what it holds.
-	opening sync.Mutex
-	// bucket is nil until then. The limiter's mu guards it.
-	bucket *Bucket
-	used   time.Time
+// hostedBucket is a bucket for which this instance is the home.
+type hostedBucket struct {
+	// openMu is held while the balance is fetched from the previous home.
+	openMu sync.Mutex
+	// bucket is nil until the balance is fetched. It is guarded by Limiter.mu.
+	bucket   *Bucket
+	lastUsed time.Time
 }
 
-// held returns the place of an organisation's bucket here. The caller holds mu.
-func (limiter *Limiter) held(organisation string) *homeBucket {
-	held := limiter.buckets[organisation]
-	if held == nil {
-		held = &homeBucket{}
-		limiter.buckets[organisation] = held
-	}
-	return held
+// hosted returns the record of an organisation's bucket at this instance, and
+// creates it if there is none. The caller must hold mu.
+func (limiter *Limiter) hosted(organisation string) *hostedBucket {
+	hosted := limiter.buckets[organisation]
+	if hosted == nil {
+		hosted = &hostedBucket{}
+		limiter.buckets[organisation] = hosted
+	}
+	return hosted
 }
 
-// open makes the bucket with what the home before still held. Without its word
-// it is empty: what that one gave out is not known.
-func (limiter *Limiter) open(ctx context.Context, held *homeBucket, question Question) {
-	held.opening.Lock()
-	defer held.opening.Unlock()
+// openBucket creates the bucket with the balance that remained at the previous
+// home. If that home does not report, the bucket starts empty, since the amount
+// that it granted is unknown.
+func (limiter *Limiter) openBucket(ctx context.Context, hosted *hostedBucket, request Question) {
+	hosted.openMu.Lock()
+	defer hosted.openMu.Unlock()
 	limiter.mu.Lock()
-	isOpen := held.bucket != nil
+	isOpen := hosted.bucket != nil
 	limiter.mu.Unlock()
 	if isOpen {
 		return
 	}
-	balance, before := limiter.inherited(ctx, question)
+	balance, previous := limiter.inheritedBalance(ctx, request)
 	limiter.mu.Lock()
 	defer limiter.mu.Unlock()
 	now := limiter.clock.Now()
-	if held.bucket == nil { // else a home that stops gave it meanwhile
-		held.bucket = NewBucket(limiter.tolerance, question.Limit, now)
+	if hosted.bucket == nil { // otherwise a stopping home has transferred it meanwhile
+		hosted.bucket = NewBucket(limiter.tolerance, request.Limit, now)
 	}
 	if balance == nil {
-		held.bucket.Doubt(now)
+		hosted.bucket.AssumeOutstanding(now)
 		balance = &Balance{}
 	}
-	held.bucket.Add(*balance, now)
-	delete(limiter.taken, question.Organisation)
+	hosted.bucket.Add(*balance, now)
+	delete(limiter.transferred, request.Organisation)
 	limiter.opened.Inc(1)
-	limiter.log.Info("home of a quota", "organisation", question.Organisation, "level", held.bucket.Level(now), "before", before, "rate", question.Limit.Rate, "burst", question.Limit.Burst, "configuration", question.Limit.Version)
+	limiter.log.Info("became the home of an organisation's quota", "organisation", request.Organisation, "level", hosted.bucket.Level(now), "before", previous, "rate", request.Limit.Rate, "burst", request.Limit.Burst, "configuration", request.Limit.Version)
 }
 
-// inherited returns what another instance held of an organisation's quota, nil
-// if that is not known, and which instance that was. Any of those that may be
-// the home may have been it: one that stood in for this one, or one in whose
-// place this one stands. One that is alive but late then gives nothing out any
-// more.
-func (limiter *Limiter) inherited(ctx context.Context, question Question) (balance *Balance, before string) {
+// inheritedBalance returns the balance that another instance held of an
+// organisation's quota, and the name of that instance. The balance is nil if it
+// is unknown. Any candidate may have been the home: as fallback for this
+// instance, or as the home for which this instance is the fallback. A candidate
+// that runs but responds after the timeout has given up the bucket once it
+// handles the request.
+func (limiter *Limiter) inheritedBalance(ctx context.Context, request Question) (balance *Balance, previous string) {
 	self := limiter.peers.Self()
-	all := limiter.peers.Homes(question.Organisation, true)
+	all := limiter.peers.Homes(request.Organisation, true)
 	isUnused := len(all) > 0 && all[0] == self
 	names := slices.DeleteFunc(slices.Clone(all), func(name string) bool { return name == self })
-	if taker := limiter.takenBy(question.Organisation); taker != "" {
+	if recipient := limiter.transferredTo(request.Organisation); recipient != "" {
 		isUnused = false
-		if !slices.Contains(names, taker) {
-			names = append(names, taker)
+		if !slices.Contains(names, recipient) {
+			names = append(names, recipient)
 		}
 	}
 	for _, name := range names {
-		found, at, never := limiter.follow(ctx, question.Organisation, name)
+		found, holder, neverHeld := limiter.traceBucket(ctx, request.Organisation, name)
 		if found != nil {
-			return found, at
+			return found, holder
 		}
-		isUnused = isUnused && never
+		isUnused = isUnused && neverHeld
 	}
 	if !isUnused {
 		return nil, ""
 	}
-	// What came since instances last joined or left: nobody has used it.
-	return &Balance{Level: question.Limit.Rate * min(limiter.peers.Settled(), limiter.sincePresent()).Seconds()}, ""
+	// The credit accrued since the set of instances last changed can't have
+	// been used by any of them.
+	return &Balance{Level: request.Limit.Rate * min(limiter.peers.Settled(), limiter.activeFor()).Seconds()}, ""
 }
 
-// follow asks an instance for an organisation's bucket, and those that took it
-// from there. It reports which it was had from, or that an instance answered
-// which never had it.
-func (limiter *Limiter) follow(ctx context.Context, organisation, from string) (balance *Balance, at string, isUnused bool) {
-	for range mostMoves {
-		given := limiter.fetch(ctx, from, organisation)
-		if given == nil {
+// traceBucket requests an organisation's bucket from an instance, and then from
+// the instances to which it was transferred. It returns the balance and its
+// holder. isUnused is set if the last instance responded and had never held the
+// bucket.
+func (limiter *Limiter) traceBucket(ctx context.Context, organisation, from string) (balance *Balance, holder string, isUnused bool) {
+	for range maxMoves {
+		response := limiter.fetchBucket(ctx, from, organisation)
+		if response == nil {
 			return nil, from, false
 		}
-		if balance, ok := given.Balances[organisation]; ok {
+		if balance, ok := response.Balances[organisation]; ok {
 			return &balance, from, false
 		}
-		next := given.Moved[organisation]
+		next := response.Moved[organisation]
 		if next == "" || next == limiter.peers.Self() {
 			return nil, from, next == ""
 		}
@@ -112,104 +117,107 @@
 	return nil, from, false
 }
 
-// mostMoves bounds how often a bucket is looked for where it moved to.
-const mostMoves = 3
+// maxMoves bounds the number of instances that traceBucket calls.
+const maxMoves = 3
 
-// fetch asks an instance for an organisation's bucket, and waits handOverTimeout
-// for it. One that is later must give it up all the same. It returns nil if
-// there was no answer.
-func (limiter *Limiter) fetch(ctx context.Context, from, organisation string) *Transfer {
-	answered := make(chan *Transfer, 1)
+// fetchBucket requests an organisation's bucket from an instance and waits at
+// most transferWait. The call itself continues after that, because the instance
+// has to give up the bucket even if it responds too late. It returns nil if
+// there was no response.
+func (limiter *Limiter) fetchBucket(ctx context.Context, from, organisation string) *Transfer {
+	responded := make(chan *Transfer, 1)
 	go func() {
-		limited, cancel := context.WithTimeout(context.WithoutCancel(ctx), giveUpTimeout)
+		limited, cancel := context.WithTimeout(context.WithoutCancel(ctx), transferTimeout)
 		defer cancel()
-		given, err := limiter.peers.HandOver(limited, from, Transfer{From: limiter.peers.Self(), Wanted: []string{organisation}})
+		response, err := limiter.peers.HandOver(limited, from, Transfer{From: limiter.peers.Self(), Wanted: []string{organisation}})
 		if err != nil {
-			answered <- nil
+			responded <- nil
 			return
 		}
-		limiter.answered(from, nil)
-		answered <- &given
+		limiter.responded(from, nil)
+		responded <- &response
 	}()
 	timer := time.NewTimer(limiter.wait)
 	defer timer.Stop()
 	select {
-	case given := <-answered:
-		return given
+	case response := <-responded:
+		return response
 	case <-timer.C:
 		return nil
 	}
 }
 
-// takenBy returns the instance that took the organisation's bucket from here,
-// "" if none did.
-func (limiter *Limiter) takenBy(organisation string) string {
+// transferredTo returns the instance to which the organisation's bucket was
+// transferred from here, or "" if there is none.
+func (limiter *Limiter) transferredTo(organisation string) string {
 	limiter.mu.Lock()
 	defer limiter.mu.Unlock()
-	return limiter.taken[organisation].by
+	return limiter.transferred[organisation].instance
 }
 
-// Transfer gives up the buckets that another home asks for, and takes those
-// that it gives. It returns ErrStopping once this instance has given up all.
+// Transfer releases the buckets that another home requests, and adds the
+// balances that it transfers to this instance. It returns ErrStopping once Stop
+// has been called.
 func (limiter *Limiter) Transfer(transfer Transfer) (Transfer, error) {
 	limiter.mu.Lock()
 	defer limiter.mu.Unlock()
 	now := limiter.clock.Now()
-	limiter.met(now)
+	limiter.recordContact(now)
 	if limiter.stopped {
 		return Transfer{}, ErrStopping
 	}
 	delete(limiter.suspects, transfer.From)
 	if len(transfer.Balances) > 0 {
-		// It stops, and its entry stands a little longer.
-		limiter.suspects[transfer.From] = suspect{since: now, until: now.Add(mostSuspicion), pause: firstSuspicion, confirmed: true}
+		// The sender is stopping, but remains in the membership for a short
+		// time.
+		limiter.suspects[transfer.From] = suspect{since: now, until: now.Add(maxSuspicion), backoff: initialSuspicion, confirmed: true}
 	}
-	given := Transfer{Balances: map[string]Balance{}, Moved: map[string]string{}}
+	response := Transfer{Balances: map[string]Balance{}, Moved: map[string]string{}}
 	for _, organisation := range transfer.Wanted {
-		if held := limiter.buckets[organisation]; held != nil && held.bucket != nil {
-			given.Balances[organisation] = held.bucket.Balance(now)
-			held.bucket = nil
+		if hosted := limiter.buckets[organisation]; hosted != nil && hosted.bucket != nil {
+			response.Balances[organisation] = hosted.bucket.Balance(now)
+			hosted.bucket = nil
 			delete(limiter.buckets, organisation)
-		} else if taker, ok := limiter.taken[organisation]; ok {
-			given.Moved[organisation] = taker.by
+		} else if recipient, ok := limiter.transferred[organisation]; ok {
+			response.Moved[organisation] = recipient.instance
 		}
-		limiter.taken[organisation] = taker{by: transfer.From, at: now}
+		limiter.transferred[organisation] = recipient{instance: transfer.From, at: now}
 	}
 	for organisation, balance := range transfer.Balances {
-		held := limiter.held(organisation)
-		if held.bucket == nil {
-			held.bucket, held.used = NewBucket(limiter.tolerance, balance.Limit, now), now
+		hosted := limiter.hosted(organisation)
+		if hosted.bucket == nil {
+			hosted.bucket, hosted.lastUsed = NewBucket(limiter.tolerance, balance.Limit, now), now
 		}
-		held.bucket.Add(balance, now)
+		hosted.bucket.Add(balance, now)
 	}
-	return given, nil
+	return response, nil
 }
 
-// Stop gives the buckets that lie here to the next homes.
+// Stop transfers the buckets held here to the next homes.
 func (limiter *Limiter) Stop(ctx context.Context) {
 	limiter.mu.Lock()
 	limiter.stopped = true
 	now := limiter.clock.Now()
 	balances := map[string]Balance{}
-	for organisation, held := range limiter.buckets {
-		if held.bucket != nil {
-			balances[organisation] = held.bucket.Balance(now)
+	for organisation, hosted := range limiter.buckets {
+		if hosted.bucket != nil {
+			balances[organisation] = hosted.bucket.Balance(now)
 		}
 	}
 	clear(limiter.buckets)
 	limiter.mu.Unlock()
-	for range candidates {
-		balances = limiter.handOver(ctx, balances)
+	for range maxAttempts {
+		balances = limiter.transferBuckets(ctx, balances)
 		if len(balances) == 0 || ctx.Err() != nil {
 			return
 		}
 	}
-	limiter.log.Info("quotas not handed over: the next homes begin with nothing", "organisations", len(balances))
+	limiter.log.Info("quota balances not transferred: the next homes start with empty buckets", "organisations", len(balances))
 }
 
-// handOver gives buckets to the next homes, and returns those that were not
-// taken.
-func (limiter *Limiter) handOver(ctx context.Context, balances map[string]Balance) (left map[string]Balance) {
+// transferBuckets transfers balances to the next homes, and returns those that
+// were certainly not received.
+func (limiter *Limiter) transferBuckets(ctx context.Context, balances map[string]Balance) (remaining map[string]Balance) {
 	transfers := map[string]Transfer{}
 	for organisation, balance := range balances {
 		home, _, _ := limiter.home(organisation)
@@ -225,21 +233,21 @@
 	}
 	var calls sync.WaitGroup
 	var mu sync.Mutex
-	left = map[string]Balance{}
+	remaining = map[string]Balance{}
 	for home, transfer := range transfers {
 		calls.Go(func() {
-			limited, cancel := context.WithTimeout(ctx, askTimeout)
+			limited, cancel := context.WithTimeout(ctx, requestTimeout)
 			defer cancel()
 			_, err := limiter.peers.HandOver(limited, home, transfer)
-			limiter.answered(home, err)
-			if !isOver(err) {
-				return // taken, perhaps: it must not be given twice
+			limiter.responded(home, err)
+			if !isTerminated(err) {
+				return // it may have been received, and must not be transferred twice
 			}
 			mu.Lock()
 			defer mu.Unlock()
-			maps.Copy(left, transfer.Balances)
+			maps.Copy(remaining, transfer.Balances)
 		})
 	}
 	calls.Wait()
-	return left
+	return remaining
 }
--- a/quota/limiter.go
+++ b/quota/limiter.go
@@ -14,87 +14,93 @@
 )
 
 const (
-	// askTimeout bounds asking a home, which is one way of a millisecond off
-	// and answers from memory; machines short of processor time take longer.
-	// An instance that was asked in the home's place waits forwardTimeout for
-	// it, and is left time to answer itself.
-	askTimeout     = 250 * time.Millisecond
+	// requestTimeout bounds a credit request to a home. The home is about a
+	// millisecond away and responds from memory, but takes longer when its
+	// machine is short of processor time. An instance that was called in place
+	// of the home forwards the request with forwardTimeout, which leaves it
+	// time to respond itself.
+	requestTimeout = 250 * time.Millisecond
 	forwardTimeout = 100 * time.Millisecond
-	// handOverTimeout is how long a home waits for what another one held, and
-	// giveUpTimeout how long that one is asked to give it up.
-	handOverTimeout = 100 * time.Millisecond
-	giveUpTimeout   = 3 * time.Second
-	// firstSuspicion is how long an instance that did not answer is not asked
-	// again, twice as long each time up to mostSuspicion: the row of one that
-	// is gone for good stays.
-	firstSuspicion = time.Second
-	mostSuspicion  = 8 * time.Second
-	// beatInterval is how often the limiter looks whether it was away, and
-	// mostAbsence after which it was: others take over after askTimeout.
-	beatInterval = 100 * time.Millisecond
-	mostAbsence  = 500 * time.Millisecond
-	// probeInterval is how often an instance in whose place this one stands is
-	// called: until then both give out the quota.
+	// transferWait is how long a new home waits for the balance of the previous
+	// one. transferTimeout bounds the call itself, which continues so that the
+	// previous home gives up its bucket.
+	transferWait    = 100 * time.Millisecond
+	transferTimeout = 3 * time.Second
+	// initialSuspicion is how long an unresponsive instance is not called
+	// again. The time doubles with each failure up to maxSuspicion, because the
+	// membership row of an instance that is gone for good remains.
+	initialSuspicion = time.Second
+	maxSuspicion     = 8 * time.Second
+	// heartbeatInterval is the interval of the local heartbeat. After a gap of
+	// more than maxHeartbeatGap this instance counts as having been suspended,
+	// since others take over its buckets after requestTimeout.
+	heartbeatInterval = 100 * time.Millisecond
+	maxHeartbeatGap   = 500 * time.Millisecond
+	// probeInterval is how often a fallback home calls the instance that it
+	// replaces. Until that call succeeds, both grant the quota.
 	probeInterval = 100 * time.Millisecond
-	// isolatingSilence is how many instances do not answer, with no contact for
-	// isolatingTime, before this one counts as cut off. Calls take milliseconds.
-	isolatingSilence = 2
-	isolatingTime    = 200 * time.Millisecond
-	// forgetTime is after which a bucket that nobody asked for is dropped: it
-	// is full again by then.
-	forgetTime = time.Minute
+	// isolationPeers is the number of unresponsive instances, without any
+	// contact for isolationTime, from which this instance counts as
+	// partitioned. Calls normally take milliseconds.
+	isolationPeers = 2
+	isolationTime  = 200 * time.Millisecond
+	// idleTTL is the time after which an unused bucket is dropped. It is full
+	// again after that time.
+	idleTTL = time.Minute
 )
 
-// Peers are the other instances.
+// Peers is the set of instances that share the quotas.
 type Peers interface {
-	// Homes returns the instances that may be the home of an organisation, the
-	// best first and a few at most: the same at all instances that know the
-	// same. It leaves out those that could not be reached of late unless all is
+	// Homes returns the candidates for the home of an organisation, in order of
+	// preference and limited to a few. Instances with the same membership get
+	// the same list. Recently unreachable instances are left out unless all is
 	// set.
 	Homes(organisation string, all bool) []string
 	// Self returns the name of this instance.
 	Self() string
-	// Joined returns when an instance last joined or started again.
+	// Joined returns when an instance last joined or restarted.
 	Joined(instance string) time.Time
-	// Settled returns for how long no instance has joined or left.
+	// Settled returns the time since an instance last joined or left.
 	Settled() time.Duration
-	// AskCredit asks an instance as the home of the organisation. It returns
-	// ErrNotHome and ErrStopping as that one's Answer does, and ErrNotRunning if
-	// its machine says that no process of it runs.
-	AskCredit(ctx context.Context, instance string, question Question) (Answer, error)
-	// HandOver asks an instance for the buckets of organisations whose home it
-	// is no more, and gives it others; it returns what it held, and errors as
-	// AskCredit does.
+	// AskCredit sends a credit request to an instance as the home of the
+	// organisation. It returns ErrNotHome and ErrStopping as Limiter.Answer of
+	// that instance does, and ErrNotRunning if its machine reports that no
+	// process is running.
+	AskCredit(ctx context.Context, instance string, request Question) (Answer, error)
+	// HandOver requests from an instance the buckets of organisations of which
+	// it is no longer the home, and transfers other buckets to it. It returns
+	// the balances that the instance held, and the errors of AskCredit.
 	HandOver(ctx context.Context, instance string, transfer Transfer) (Transfer, error)
 }
 
-// Question is an Ask for an organisation.
+// Question is an Ask for the credit of an organisation.
 type Question struct {
 	Organisation string
 	Limit        Limit
 	Ask          Ask
-	// Hops is how often it was passed on, by instances that took another one
-	// for the home.
+	// Hops counts how often the request was forwarded by instances that were
+	// not the home.
 	Hops int
 }
 
-// Transfer moves buckets between homes.
+// Transfer is a transfer of buckets between homes.
 type Transfer struct {
-	// From is the instance that asks or gives.
+	// From is the instance that requests or transfers the buckets.
 	From string
-	// Wanted are organisations whose buckets are asked for.
+	// Wanted lists the organisations whose buckets are requested.
 	Wanted []string
-	// Balances are what buckets hold, by organisation.
+	// Balances holds the balances of transferred buckets by organisation.
 	Balances map[string]Balance
-	// Moved names the instances that took wanted buckets before.
+	// Moved names, by organisation, the instances to which wanted buckets were
+	// transferred before.
 	Moved map[string]string
 }
 
-// ErrNotHome is an instance that is not an organisation's home, and cannot reach
-// the one that is.
-var ErrNotHome = errors.New("not the home")
+// ErrNotHome is returned by an instance that is not the home of the
+// organisation and can't reach the home.
+var ErrNotHome = errors.New("not the home instance of the organisation, and the home could not be reached")
 
-// ExhaustedError is an organisation that has no request left for now.
+// ExhaustedError is returned when an organisation has no credit at present.
 type ExhaustedError struct {
 	organisation, home string
 	limit              Limit
@@ -102,68 +108,71 @@
 	after              time.Duration
 }
 
-// Error tells the limit, what the home held, and which instance that is.
+// Error names the organisation, its limit, the level of its bucket and its
+// home.
 func (e *ExhaustedError) Error() string {
-	return fmt.Sprintf("organisation %s has no request left: rate %g/s, burst %g of version %d, %.1f left at home %s", e.organisation, e.limit.Rate, e.limit.Burst, e.limit.Version, e.level, e.home)
+	return fmt.Sprintf("quota of organisation %s exhausted: rate %g/s, burst %g in version %d, %.1f requests remaining at home %s", e.organisation, e.limit.Rate, e.limit.Burst, e.limit.Version, e.level, e.home)
 }
 
-// RetryAfter returns when there will be credit.
+// RetryAfter returns the time until credit is expected.
 func (e *ExhaustedError) RetryAfter() time.Duration { return e.after }
 
-// UnsureError is a quota of which this instance cannot know what is left.
-type UnsureError struct {
+// BalanceUnknownError is returned when this instance can't determine the
+// remaining quota of an organisation.
+type BalanceUnknownError struct {
 	organisation string
 	cause        error
 }
 
-// Error names the organisation.
-func (e *UnsureError) Error() string {
-	return fmt.Sprintf("what is left to organisation %s is not known: %v", e.organisation, e.cause)
+// Error names the organisation and the cause.
+func (e *BalanceUnknownError) Error() string {
+	return fmt.Sprintf("remaining quota of organisation %s is unknown: %v", e.organisation, e.cause)
 }
 
 // Unwrap returns the cause.
-func (e *UnsureError) Unwrap() error { return e.cause }
+func (e *BalanceUnknownError) Unwrap() error { return e.cause }
 
-// Limiter keeps organisations within their quotas. It is safe for concurrent
-// use.
+// Limiter enforces the quotas of organisations across instances. It is safe for
+// concurrent use.
 type Limiter struct {
 	peers     Peers
 	tolerance Tolerance
 	clock     clock.Clock
 	log       *slog.Logger
-	// wait is handOverTimeout; tests in simulated time wait longer.
+	// wait is transferWait; tests in simulated time set a longer one.
 	wait time.Duration
 
-	ahead, asked, forwarded, exhausted, unsure, opened tally.Counter
+	ahead, requested, forwarded, exhausted, unknown, opened tally.Counter
 
 	mu       sync.Mutex
 	credits  map[string]*Credit
-	buckets  map[string]*homeBucket
+	buckets  map[string]*hostedBucket
 	suspects map[string]suspect
 	stopped  bool
-	// taken are the buckets that another instance took from here.
-	taken map[string]taker
-	// unanswered are the instances that did not answer since the last contact
-	// with any.
-	unanswered map[string]struct{}
-	contact    time.Time
-	// beaten is when Beat was last called, isolated what it found; present is
-	// since when this instance has been running and in reach.
-	beaten, present time.Time
-	isolated        bool
+	// transferred records the buckets that were transferred from here.
+	transferred map[string]recipient
+	// unresponsive holds the instances that have not responded since
+	// lastContact, the time of the last contact with any instance.
+	unresponsive map[string]struct{}
+	lastContact  time.Time
+	// lastHeartbeat is the time of the last Heartbeat. isolated is the result
+	// of the last checkIsolation. activeSince is the time since which it has
+	// been running and in contact.
+	lastHeartbeat, activeSince time.Time
+	isolated                   bool
 }
 
-// NewLimiter returns a limiter among peers.
+// NewLimiter returns a limiter that shares quotas with peers.
 func NewLimiter(peers Peers, tolerance Tolerance, clk clock.Clock, log *slog.Logger, scope tally.Scope) *Limiter {
-	return &Limiter{peers: peers, tolerance: tolerance, clock: clk, log: log, wait: handOverTimeout,
-		ahead: scope.Counter("quota_ahead"), asked: scope.Counter("quota_asked"), forwarded: scope.Counter("quota_forwarded"),
-		exhausted: scope.Counter("quota_exhausted"), unsure: scope.Counter("quota_unsure"), opened: scope.Counter("quota_buckets_opened"),
-		credits: map[string]*Credit{}, buckets: map[string]*homeBucket{}, suspects: map[string]suspect{}, taken: map[string]taker{}, unanswered: map[string]struct{}{}, beaten: clk.Now(), present: clk.Now()}
+	return &Limiter{peers: peers, tolerance: tolerance, clock: clk, log: log, wait: transferWait,
+		ahead: scope.Counter("quota_ahead"), requested: scope.Counter("quota_asked"), forwarded: scope.Counter("quota_forwarded"),
+		exhausted: scope.Counter("quota_exhausted"), unknown: scope.Counter("quota_unsure"), opened: scope.Counter("quota_buckets_opened"),
+		credits: map[string]*Credit{}, buckets: map[string]*hostedBucket{}, suspects: map[string]suspect{}, transferred: map[string]recipient{}, unresponsive: map[string]struct{}{}, lastHeartbeat: clk.Now(), activeSince: clk.Now()}
 }
 
-// Take returns how long a request must wait for its credit, which then counts
-// as used. It returns an *ExhaustedError if the organisation has none left, and
-// an *UnsureError if this instance cannot know.
+// Take consumes credit for a request, and returns how long the request must
+// wait for it. It returns an *ExhaustedError if the organisation has no credit,
+// and a *BalanceUnknownError if the remaining quota is unknown.
 func (limiter *Limiter) Take(ctx context.Context, organisation string, limit Limit, request Request) (time.Duration, error) {
 	now := limiter.clock.Now()
 	limiter.mu.Lock()
@@ -177,25 +186,25 @@
 		limiter.ahead.Inc(1)
 		return 0, nil
 	}
-	question := Question{Organisation: organisation, Limit: limit, Ask: credit.Ask(limiter.peers.Self(), request)}
+	homeRequest := Question{Organisation: organisation, Limit: limit, Ask: credit.Ask(limiter.peers.Self(), request)}
 	limiter.mu.Unlock()
-	limiter.asked.Inc(1)
-	answer, home, err := limiter.ask(ctx, question)
+	limiter.requested.Inc(1)
+	response, home, err := limiter.requestCredit(ctx, homeRequest)
 	limiter.mu.Lock()
-	credit.Take(question.Ask, answer, now)
+	credit.Take(homeRequest.Ask, response, now)
 	limiter.mu.Unlock()
 	switch {
 	case err != nil:
-		limiter.unsure.Inc(1)
-		return 0, &UnsureError{organisation: organisation, cause: err}
-	case !answer.Granted:
+		limiter.unknown.Inc(1)
+		return 0, &BalanceUnknownError{organisation: organisation, cause: err}
+	case !response.Granted:
 		limiter.exhausted.Inc(1)
-		return 0, &ExhaustedError{organisation: organisation, home: home, limit: limit, level: answer.Level, after: answer.Wait}
+		return 0, &ExhaustedError{organisation: organisation, home: home, limit: limit, level: response.Level, after: response.Wait}
 	}
-	return answer.Wait, nil
+	return response.Wait, nil
 }
 
-// Return takes back the credit of a request that did not run.
+// Return records that a request for which credit was taken was not run.
 func (limiter *Limiter) Return(organisation string) {
 	limiter.mu.Lock()
 	defer limiter.mu.Unlock()
@@ -204,77 +213,81 @@
 	}
 }
 
-// ask asks the home, and the next instance if it does not answer.
-func (limiter *Limiter) ask(ctx context.Context, question Question) (Answer, string, error) {
+// requestCredit sends the request to the home, and to the next candidates if
+// the home does not respond. It also returns the instance that decided.
+func (limiter *Limiter) requestCredit(ctx context.Context, request Question) (Answer, string, error) {
 	self := limiter.peers.Self()
-	if limiter.isAlone() {
+	if limiter.checkIsolation() {
 		return Answer{}, self, ErrNotHome
 	}
-	last := ErrNotHome
-	for tries := (tries{}); tries.next(last); {
-		home, next, isStandIn := limiter.home(question.Organisation)
+	lastErr := ErrNotHome
+	for attempts := (attempts{}); attempts.next(lastErr); {
+		home, next, isFallback := limiter.home(request.Organisation)
 		switch {
-		case home == self && isStandIn && next != "":
-			// One lost answer is no reason to take over: two instances would
-			// give out the same quota. Another one must not reach the home
-			// either.
-			answer, err := limiter.askAt(ctx, next, question, askTimeout)
+		case home == self && isFallback && next != "":
+			// A single lost response does not justify a takeover, after which
+			// two instances would grant the same quota. A second instance has
+			// to confirm that the home is unreachable.
+			response, err := limiter.requestCreditFrom(ctx, next, request, requestTimeout)
 			if err == nil {
-				return answer, next, nil
+				return response, next, nil
 			}
-			if last = err; errors.Is(err, ErrNotHome) {
-				limiter.confirm(question.Organisation)
-				question.Ask.Returned = 0
-				return limiter.take(ctx, question), self, nil
+			if lastErr = err; errors.Is(err, ErrNotHome) {
+				limiter.confirm(request.Organisation)
+				request.Ask.Returned = 0
+				return limiter.takeLocal(ctx, request), self, nil
 			}
 		case home == self:
-			return limiter.take(ctx, question), self, nil
+			return limiter.takeLocal(ctx, request), self, nil
 		case home != "":
-			answer, err := limiter.askAt(ctx, home, question, askTimeout)
+			response, err := limiter.requestCreditFrom(ctx, home, request, requestTimeout)
 			if err == nil {
-				return answer, home, nil
+				return response, home, nil
 			}
-			last = err
+			lastErr = err
 		}
 		if ctx.Err() != nil {
 			break
 		}
-		question.Ask.Returned = 0 // taken in, perhaps, by one whose answer is lost
+		request.Ask.Returned = 0 // may have been applied, with the response lost
 	}
-	return Answer{}, "", last
+	return Answer{}, "", lastErr
 }
 
 const (
-	// candidates are how many instances are asked for one request at most: a home
-	// that does not answer, the next, and one more.
-	candidates = 3
-	// mostOver is how many more are asked that are over, which takes no time to
-	// find out: half of all processes may have ended at once, and ten in a row
-	// have then for one organisation in a thousand.
-	mostOver = 8
+	// maxAttempts is the maximum number of instances called for one request: an
+	// unresponsive home, the next candidate and one more.
+	maxAttempts = 3
+	// maxTerminated is the maximum number of further calls to terminated
+	// instances, which fail at once. If half of all processes have ended at
+	// once, the first ten candidates are all terminated for one organisation in
+	// a thousand.
+	maxTerminated = 8
 )
 
-// tries counts the instances that are asked for one request.
-type tries struct{ asked, over int }
+// attempts counts the calls made for one request.
+type attempts struct{ sent, terminated int }
 
-// next reports whether another instance is asked, after one that ended with last.
-func (tries *tries) next(last error) bool {
-	if isOver(last) && tries.over < mostOver {
-		tries.over++
+// next reports whether another instance is called after a call that returned
+// lastErr.
+func (attempts *attempts) next(lastErr error) bool {
+	if isTerminated(lastErr) && attempts.terminated < maxTerminated {
+		attempts.terminated++
 		return true
 	}
-	tries.asked++
-	return tries.asked <= candidates
+	attempts.sent++
+	return attempts.sent <= maxAttempts
 }
 
-// mostHops is how often a question is passed on: by one instance that knows a
-// newer home, and one that the home's answer did not reach.
-const mostHops = 2
+// maxHops bounds how often a request is forwarded: once by an instance that has
+// recorded a newer home, and once by an instance that the home's response did
+// not reach.
+const maxHops = 2
 
-// home returns the home of an organisation and the instance after it, "" if
-// there is none. It stands in for the home if one before it in the order is
-// suspected, and nobody has confirmed that.
-func (limiter *Limiter) home(organisation string) (home, next string, isStandIn bool) {
+// home returns the home of an organisation and the next candidate, or "" if
+// there is none. isFallback is set if a preferred candidate is suspected
+// without confirmation by another instance.
+func (limiter *Limiter) home(organisation string) (home, next string, isFallback bool) {
 	now := limiter.clock.Now()
 	limiter.mu.Lock()
 	defer limiter.mu.Unlock()
@@ -283,125 +296,131 @@
 		switch {
 		case limiter.stopped && name == limiter.peers.Self():
 		case suspected && now.Before(suspect.until) && !limiter.peers.Joined(name).After(suspect.since):
-			isStandIn = isStandIn || home == "" && !suspect.confirmed
+			isFallback = isFallback || home == "" && !suspect.confirmed
 		case home == "":
 			home = name
 		default:
-			return home, name, isStandIn
+			return home, name, isFallback
 		}
 	}
-	return home, "", isStandIn
+	return home, "", isFallback
 }
 
-// askAt asks one instance. One that does not answer is suspected for a while.
-func (limiter *Limiter) askAt(ctx context.Context, home string, question Question, timeout time.Duration) (Answer, error) {
+// requestCreditFrom sends the request to one instance, and suspects the
+// instance for a while if it does not respond.
+func (limiter *Limiter) requestCreditFrom(ctx context.Context, home string, request Question, timeout time.Duration) (Answer, error) {
 	limited, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
-	answer, err := limiter.peers.AskCredit(limited, home, question)
+	response, err := limiter.peers.AskCredit(limited, home, request)
 	switch {
 	case errors.Is(err, ErrNotHome):
 		limiter.mu.Lock()
-		limiter.met(limiter.clock.Now())
+		limiter.recordContact(limiter.clock.Now())
 		limiter.mu.Unlock()
 	case err == nil:
-		limiter.answered(home, nil)
-		limiter.drop(question.Organisation)
+		limiter.responded(home, nil)
+		limiter.dropBucket(request.Organisation)
 	case ctx.Err() == nil:
-		limiter.answered(home, err)
+		limiter.responded(home, err)
 	}
-	return answer, err
+	return response, err
 }
 
-// drop forgets a bucket that lay here while another instance was out of reach.
-func (limiter *Limiter) drop(organisation string) {
+// dropBucket removes a bucket that was held here while its home was
+// unreachable.
+func (limiter *Limiter) dropBucket(organisation string) {
 	limiter.mu.Lock()
 	defer limiter.mu.Unlock()
 	delete(limiter.buckets, organisation)
 }
 
-// Answer answers another instance as the home of the organisation, or passes
-// the question on to the instance that it takes for the home. It returns
-// ErrNotHome if it cannot, and ErrStopping if this instance stops.
-func (limiter *Limiter) Answer(ctx context.Context, question Question) (Answer, error) {
-	limiter.isAlone() // gives up what is out of date
+// Answer decides on a request from another instance if this one is the home of
+// the organisation, and forwards it to the home otherwise. It returns
+// ErrNotHome if neither is possible, and ErrStopping once Stop has been called.
+func (limiter *Limiter) Answer(ctx context.Context, request Question) (Answer, error) {
+	limiter.checkIsolation() // drops outdated buckets
 	limiter.mu.Lock()
-	limiter.met(limiter.clock.Now())
+	limiter.recordContact(limiter.clock.Now())
 	isStopped := limiter.stopped
 	limiter.mu.Unlock()
 	if isStopped {
 		return Answer{}, ErrStopping
 	}
 	self := limiter.peers.Self()
-	var last error
-	for tries := (tries{}); tries.next(last); {
-		home, _, _ := limiter.home(question.Organisation)
+	var lastErr error
+	for attempts := (attempts{}); attempts.next(lastErr); {
+		home, _, _ := limiter.home(request.Organisation)
 		switch {
 		case home == self:
-			// If it stands in, the asker does not reach the home either.
-			limiter.confirm(question.Organisation)
-			return limiter.take(ctx, question), nil
-		case home == "" || home == question.Ask.Asker || question.Hops >= mostHops:
+			// If this instance is the fallback, the request shows that another
+			// instance can't reach the home either.
+			limiter.confirm(request.Organisation)
+			return limiter.takeLocal(ctx, request), nil
+		case home == "" || home == request.Ask.Asker || request.Hops >= maxHops:
 			return Answer{}, ErrNotHome
 		}
 		limiter.forwarded.Inc(1)
-		onward := question
-		onward.Hops++
-		answer, err := limiter.askAt(ctx, home, onward, forwardTimeout)
+		relayed := request
+		relayed.Hops++
+		response, err := limiter.requestCreditFrom(ctx, home, relayed, forwardTimeout)
 		if err == nil || errors.Is(err, ErrNotHome) || ctx.Err() != nil {
-			return answer, err
+			return response, err
 		}
-		last = err
-		question.Ask.Returned = 0
+		lastErr = err
+		request.Ask.Returned = 0
 	}
 	return Answer{}, ErrNotHome
 }
 
-// take decides by the bucket here.
-func (limiter *Limiter) take(ctx context.Context, question Question) Answer {
+// takeLocal decides on the request by the bucket held here.
+func (limiter *Limiter) takeLocal(ctx context.Context, request Question) Answer {
 	limiter.mu.Lock()
-	held := limiter.held(question.Organisation)
+	hosted := limiter.hosted(request.Organisation)
 	limiter.mu.Unlock()
-	limiter.open(ctx, held, question)
+	limiter.openBucket(ctx, hosted, request)
 	limiter.mu.Lock()
 	defer limiter.mu.Unlock()
 	now := limiter.clock.Now()
-	held.used = now
-	if held.bucket == nil {
-		// Handed over meanwhile: whoever asks again finds the new home.
-		held.bucket = NewBucket(limiter.tolerance, question.Limit, now)
-		held.bucket.Doubt(now)
+	hosted.lastUsed = now
+	if hosted.bucket == nil {
+		// The bucket was transferred meanwhile. A retry finds the new home.
+		hosted.bucket = NewBucket(limiter.tolerance, request.Limit, now)
+		hosted.bucket.AssumeOutstanding(now)
 	}
-	return held.bucket.Take(question.Ask, question.Limit, now)
+	return hosted.bucket.Take(request.Ask, request.Limit, now)
 }
 
-// Run keeps the limiter going until ctx ends; then it reports on done.
+// Run sends heartbeats and evicts idle state until ctx ends, then reports on
+// done.
 func (limiter *Limiter) Run(ctx context.Context, done chan<- error) {
 	forgotten := limiter.clock.Now()
-	clock.Every(ctx, beatInterval, func(now time.Time) {
-		limiter.Beat()
-		if now.Sub(forgotten) >= forgetTime {
+	clock.Every(ctx, heartbeatInterval, func(now time.Time) {
+		limiter.Heartbeat()
+		if now.Sub(forgotten) >= idleTTL {
 			forgotten = now
-			limiter.forget(now)
+			limiter.evictIdle(now)
 		}
 	}, done)
 }
 
-func (limiter *Limiter) forget(now time.Time) {
+// evictIdle removes buckets, credit and transfer records unused for idleTTL, and
+// expired suspicions.
+func (limiter *Limiter) evictIdle(now time.Time) {
 	limiter.mu.Lock()
 	defer limiter.mu.Unlock()
-	for organisation, held := range limiter.buckets {
-		if held.bucket != nil && now.Sub(held.used) > forgetTime {
+	for organisation, hosted := range limiter.buckets {
+		if hosted.bucket != nil && now.Sub(hosted.lastUsed) > idleTTL {
 			delete(limiter.buckets, organisation)
 		}
 	}
 	for organisation, credit := range limiter.credits {
-		if now.Sub(credit.at) > forgetTime && credit.returned == 0 {
+		if now.Sub(credit.at) > idleTTL && credit.returned == 0 {
 			delete(limiter.credits, organisation)
 		}
 	}
-	for organisation, taker := range limiter.taken {
-		if now.Sub(taker.at) > forgetTime {
-			delete(limiter.taken, organisation)
+	for organisation, recipient := range limiter.transferred {
+		if now.Sub(recipient.at) > idleTTL {
+			delete(limiter.transferred, organisation)
 		}
 	}
 	for name, suspect := range limiter.suspects {
--- a/quota/limiter_test.go
+++ b/quota/limiter_test.go
@@ -12,7 +12,7 @@
 	"github.com/wagtaildrum/wagtaildrum/quota"
 )
 
-// byName returns the instance of a name.
+// byName returns the instance with the name, or nil if there is none.
 func (f *fleet) byName(name string) *member {
 	for _, m := range f.instances {
 		if m.name == name {
@@ -22,14 +22,14 @@
 	return nil
 }
 
-// settled returns a fleet whose instances all know each other, with the quota
-// of x full at its home, and the instances in the order in which they are home
-// of x.
-func settled(t *testing.T) (*fleet, []*member) {
+// settledFleet returns a fleet whose instances all have the same membership,
+// with the quota of x full at its home, and the candidates for the home of x in
+// order of preference.
+func settledFleet(t *testing.T) (*fleet, []*member) {
 	f := newFleet(t, 2, 5)
-	f.isProcessOnly = true
+	f.hostResponds = true
 	f.limit("x", 20, 20)
-	f.pass(5 * time.Second)
+	f.advance(5 * time.Second)
 	var order []*member
 	for _, name := range f.instances[0].Homes("x", true) {
 		order = append(order, f.byName(name))
@@ -37,26 +37,27 @@
 	return f, order
 }
 
-// pass lets time pass while all that run notice it.
-func (f *fleet) pass(d time.Duration) {
+// advance lets time pass in steps of 50 ms with heartbeats of all running
+// instances.
+func (f *fleet) advance(d time.Duration) {
 	for range d / (50 * time.Millisecond) {
 		f.clock.Advance(50 * time.Millisecond)
-		f.beat()
+		f.heartbeat()
 	}
 }
 
-// take returns the error of a request at an instance.
+// take sends a request for the quota of x to an instance and returns its error.
 func (f *fleet) take(m *member) error {
-	m.learn()
+	m.applyNews()
 	_, err := m.limiter.Take(context.Background(), "x", f.limits["x"], quota.Request{})
 	return err
 }
 
-// Guards against requests that nobody answers for while several instances stop
-// at once: the home hands its bucket to one that stops, too, and questions go
-// back and forth between them.
-func TestQuotaIsKnownWhileItsHomesStopTogether(t *testing.T) {
-	f, order := settled(t)
+// Guards against requests without a decision while several instances stop at
+// once: the home transfers its bucket to another stopping instance, and
+// requests are forwarded back and forth between them.
+func TestQuotaIsAvailableWhileHomesStopTogether(t *testing.T) {
+	f, order := settledFleet(t)
 	require.NoError(t, f.take(order[2]))
 	for _, m := range order[:2] {
 		m.limiter.Stop(context.Background())
@@ -73,74 +74,74 @@
 	for f.take(order[2]) == nil {
 		granted++
 	}
-	assert.LessOrEqual(t, granted, 37, "the bucket moved, and was not filled again")
+	assert.LessOrEqual(t, granted, 37, "the bucket was transferred, and not refilled")
 }
 
-// Guards against requests that are refused while a home's process is ended:
-// its machine says so, and the next one need not wait to be sure.
-func TestNextHomeStandsInForAnEndedProcessAtOnce(t *testing.T) {
-	f, order := settled(t)
+// Guards against requests rejected after the process of a home has ended: its
+// machine reports this, so that the next home need not wait for confirmation.
+func TestNextHomeReplacesTerminatedProcessAtOnce(t *testing.T) {
+	f, order := settledFleet(t)
 	require.NoError(t, f.take(order[2]))
-	order[0].dead = true
-	f.pass(quota.MostPatience + 150*time.Millisecond)
+	order[0].crashed = true
+	f.advance(quota.MostPatience + 150*time.Millisecond)
 	for _, m := range order[1:] {
 		err := f.take(m)
-		var unsure *quota.UnsureError
-		assert.NotErrorAs(t, err, &unsure, m.name)
+		var unknown *quota.BalanceUnknownError
+		assert.NotErrorAs(t, err, &unknown, m.name)
 	}
-	f.pass(quota.MostPatience + time.Second)
+	f.advance(quota.MostPatience + time.Second)
 	granted := 0
 	for f.take(order[2]) == nil {
 		granted++
 	}
-	assert.InDelta(t, 20, granted, 8, "the rate, from when it stood in")
+	assert.InDelta(t, 20, granted, 8, "the refill since the takeover")
 }
 
-// Guards against requests that nobody answers for since the processes of all that
-// may be the home have ended at once, while others live.
-func TestQuotaIsKnownThoughAllItsHomesHaveEnded(t *testing.T) {
-	f, order := settled(t)
-	f.isCalm = true
+// Guards against requests without a decision after the processes of all
+// candidates have ended at once, while other instances run.
+func TestQuotaIsAvailableAfterAllCandidatesTerminated(t *testing.T) {
+	f, order := settledFleet(t)
+	f.isReliable = true
 	require.NoError(t, f.take(order[0]))
 	for _, m := range order {
-		m.dead = true
+		m.crashed = true
 	}
 	for _, m := range f.instances {
-		if !m.dead {
-			var unsure *quota.UnsureError
-			assert.NotErrorAs(t, f.take(m), &unsure, m.name)
+		if !m.crashed {
+			var unknown *quota.BalanceUnknownError
+			assert.NotErrorAs(t, f.take(m), &unknown, m.name)
 		}
 	}
 }
 
-// Guards against an instance that takes itself for cut off, and refuses all,
-// since the processes of many others have ended.
-func TestEndedProcessesDoNotMakeAnInstanceCutOff(t *testing.T) {
-	f, order := settled(t)
+// Guards against an instance that takes itself for partitioned, and rejects all
+// requests, because the processes of many other instances have ended.
+func TestTerminatedProcessesDoNotIsolateInstance(t *testing.T) {
+	f, order := settledFleet(t)
 	for _, m := range f.instances {
-		m.dead = m != order[2]
+		m.crashed = m != order[2]
 	}
 	for n := range 20 {
-		f.pass(100 * time.Millisecond)
+		f.advance(100 * time.Millisecond)
 		err := f.take(order[2])
-		var unsure *quota.UnsureError
-		assert.NotErrorAs(t, err, &unsure, fmt.Sprint("after ", n))
+		var unknown *quota.BalanceUnknownError
+		assert.NotErrorAs(t, err, &unknown, fmt.Sprint("after ", n))
 	}
 	require.NoError(t, f.take(order[2]))
 }
 
-// Guards against an instance that gives out quota while it is cut off.
-func TestCutOffInstanceSaysThatItCannotKnow(t *testing.T) {
-	f, order := settled(t)
+// Guards against an instance that grants quota while it is partitioned.
+func TestPartitionedInstanceReportsBalanceUnknown(t *testing.T) {
+	f, order := settledFleet(t)
 	require.NoError(t, f.take(order[0]))
-	order[0].cut = true
-	f.pass(500 * time.Millisecond)
-	var unsure *quota.UnsureError
-	require.ErrorAs(t, f.take(order[0]), &unsure)
-	order[0].cut = false
-	f.pass(time.Second)
+	order[0].partitioned = true
+	f.advance(500 * time.Millisecond)
+	var unknown *quota.BalanceUnknownError
+	require.ErrorAs(t, f.take(order[0]), &unknown)
+	order[0].partitioned = false
+	f.advance(time.Second)
 	var exhausted *quota.ExhaustedError
-	require.ErrorAs(t, f.take(order[0]), &exhausted, "it begins with nothing: others may have stood in")
-	f.pass(500 * time.Millisecond)
+	require.ErrorAs(t, f.take(order[0]), &exhausted, "it starts empty: a fallback home may have granted its credit")
+	f.advance(500 * time.Millisecond)
 	require.NoError(t, f.take(order[0]))
 }
--- a/quota/reach.go
+++ b/quota/reach.go
@@ -11,29 +11,31 @@
 	"github.com/wagtaildrum/wagtaildrum/clock"
 )
 
-// ErrNotRunning is an instance whose process has ended: what it held is lost.
-var ErrNotRunning = errors.New("the instance does not run")
+// ErrNotRunning is returned for an instance whose process has ended. Its
+// buckets are lost.
+var ErrNotRunning = errors.New("no process of the instance is running")
 
-// ErrStopping is an instance that has handed its buckets over, or is about to,
-// and ends.
-var ErrStopping = errors.New("the instance stops")
+// ErrStopping is returned by an instance that is stopping, and has transferred
+// its buckets or is about to.
+var ErrStopping = errors.New("the instance is stopping")
 
-// isOver reports whether an instance said, or its machine, that it is no home any
-// more.
-func isOver(err error) bool {
+// isTerminated reports whether err says that the instance can no longer be a
+// home, as reported by the instance or its machine.
+func isTerminated(err error) bool {
 	return errors.Is(err, ErrNotRunning) || errors.Is(err, ErrStopping)
 }
 
-// suspect is an instance that did not answer.
+// suspect is an instance that did not respond.
 type suspect struct {
 	since, until time.Time
-	pause        time.Duration
-	// confirmed: another instance does not reach it either, or it is over.
+	backoff      time.Duration
+	// confirmed is set if another instance can't reach it either, or if it has
+	// terminated.
 	confirmed bool
 }
 
-// confirm notes that another instance does not reach those either that are
-// suspected here and would be the organisation's home.
+// confirm records that another instance can't reach the suspects that precede
+// this instance as the organisation's home.
 func (limiter *Limiter) confirm(organisation string) {
 	limiter.mu.Lock()
 	defer limiter.mu.Unlock()
@@ -48,98 +50,102 @@
 	}
 }
 
-// answered notes whether an instance answered; err is nil if it did.
-func (limiter *Limiter) answered(home string, err error) {
+// responded records the result of a call to an instance. err is nil if it
+// responded.
+func (limiter *Limiter) responded(home string, err error) {
 	limiter.mu.Lock()
 	defer limiter.mu.Unlock()
 	now := limiter.clock.Now()
 	if err == nil {
 		delete(limiter.suspects, home)
-		limiter.met(now)
+		limiter.recordContact(now)
 		return
 	}
-	if isOver(err) {
-		limiter.met(now) // its machine is in reach
+	if isTerminated(err) {
+		limiter.recordContact(now) // its machine is reachable
 	} else {
-		limiter.unanswered[home] = struct{}{}
+		limiter.unresponsive[home] = struct{}{}
 	}
-	known := limiter.suspects[home]
-	known.confirmed = known.confirmed || isOver(err)
-	if now.Before(known.until) {
-		limiter.suspects[home] = known
-		return // another request found out
+	previous := limiter.suspects[home]
+	previous.confirmed = previous.confirmed || isTerminated(err)
+	if now.Before(previous.until) {
+		limiter.suspects[home] = previous
+		return // already suspected by another request
 	}
-	pause := min(max(2*known.pause, firstSuspicion), mostSuspicion)
-	limiter.suspects[home] = suspect{since: now, until: now.Add(pause), pause: pause, confirmed: known.confirmed}
-	limiter.log.Info("home of quotas does not answer: the next instance is asked", "home", home, "for", pause, "err", err)
+	backoff := min(max(2*previous.backoff, initialSuspicion), maxSuspicion)
+	limiter.suspects[home] = suspect{since: now, until: now.Add(backoff), backoff: backoff, confirmed: previous.confirmed}
+	limiter.log.Info("quota home does not respond: requests go to the next candidate", "home", home, "for", backoff, "err", err)
 }
 
-// met notes contact with another instance. The caller holds mu.
-func (limiter *Limiter) met(now time.Time) {
-	clear(limiter.unanswered)
-	limiter.contact = now
+// recordContact records contact with another instance. The caller must hold mu.
+func (limiter *Limiter) recordContact(now time.Time) {
+	clear(limiter.unresponsive)
+	limiter.lastContact = now
 }
 
-// Beat is called every beatInterval while the instance runs. After an absence,
-// in which another instance may have taken over, what lies here is out of date.
-func (limiter *Limiter) Beat() {
-	limiter.isAlone()
+// Heartbeat records a heartbeat, and must be called every heartbeatInterval while
+// the instance runs. After a gap, in which another instance may have taken
+// over, the buckets held here are outdated and are dropped.
+func (limiter *Limiter) Heartbeat() {
+	limiter.checkIsolation()
 	limiter.mu.Lock()
 	defer limiter.mu.Unlock()
-	limiter.beaten = limiter.clock.Now()
+	limiter.lastHeartbeat = limiter.clock.Now()
 }
 
-// Probe calls the instances in whose place this one stands, so that they are
-// the home again soon after they are back; and others if none was in contact of
-// late: a home that is cut off must find out.
+// Probe calls the instances that this one replaces as fallback, so that they
+// become the home again soon after they are reachable. Without recent contact
+// it calls other instances too, so that a partitioned home detects its
+// isolation.
 func (limiter *Limiter) Probe(ctx context.Context) {
-	names := limiter.replaced()
-	if limiter.isQuiet() {
+	names := limiter.replacedHomes()
+	if limiter.needsContact() {
 		names = append(names, limiter.others()...)
 	}
 	for _, name := range names {
-		limited, cancel := context.WithTimeout(ctx, handOverTimeout)
+		limited, cancel := context.WithTimeout(ctx, transferWait)
 		_, err := limiter.peers.HandOver(limited, name, Transfer{From: limiter.peers.Self()})
 		cancel()
 		if ctx.Err() != nil {
 			return
 		}
-		if err == nil || isOver(err) {
-			limiter.answered(name, err)
+		if err == nil || isTerminated(err) {
+			limiter.responded(name, err)
 			continue
 		}
 		limiter.mu.Lock()
-		limiter.unanswered[name] = struct{}{}
+		limiter.unresponsive[name] = struct{}{}
 		limiter.mu.Unlock()
 	}
 }
 
-// isQuiet reports whether no other instance was in contact of late, while this
-// one gives out quota or does not because of that.
-func (limiter *Limiter) isQuiet() bool {
+// needsContact reports whether there was no recent contact with another
+// instance, while this one grants quota or has stopped because it is isolated.
+func (limiter *Limiter) needsContact() bool {
 	limiter.mu.Lock()
 	defer limiter.mu.Unlock()
 	now := limiter.clock.Now()
-	if now.Sub(limiter.contact) < probeInterval {
+	if now.Sub(limiter.lastContact) < probeInterval {
 		return false
 	}
-	for _, held := range limiter.buckets {
-		if now.Sub(held.used) < mostAbsence {
+	for _, hosted := range limiter.buckets {
+		if now.Sub(hosted.lastUsed) < maxHeartbeatGap {
 			return true
 		}
 	}
 	return limiter.isolated
 }
 
-// others returns some other instances, different ones each time.
+// others returns some other instances, a different selection each time.
 func (limiter *Limiter) others() []string {
 	self := limiter.peers.Self()
 	names := limiter.peers.Homes(strconv.FormatInt(limiter.clock.Now().UnixNano(), 36), true)
 	return slices.DeleteFunc(names, func(name string) bool { return name == self })
 }
 
-// replaced returns the suspects that would be home of a bucket that lies here.
-func (limiter *Limiter) replaced() []string {
+// replacedHomes returns the suspects that would be the home of a bucket held
+// here.
+func (limiter *Limiter) replacedHomes() []string {
 	limiter.mu.Lock()
 	defer limiter.mu.Unlock()
 	if len(limiter.suspects) == 0 {
@@ -159,44 +165,44 @@
 	return slices.Collect(maps.Keys(found))
 }
 
-// isSilent reports whether instances do not answer, and none was in contact of
-// late.
-func (limiter *Limiter) isSilent() bool {
+// isUnreachable reports whether other instances are unresponsive and there was
+// no recent contact with any.
+func (limiter *Limiter) isUnreachable() bool {
 	limiter.mu.Lock()
-	unanswered, silence := len(limiter.unanswered), limiter.clock.Now().Sub(limiter.contact)
+	unresponsive, silence := len(limiter.unresponsive), limiter.clock.Now().Sub(limiter.lastContact)
 	limiter.mu.Unlock()
-	if unanswered == 0 || silence <= isolatingTime {
+	if unresponsive == 0 || silence <= isolationTime {
 		return false
 	}
 	others := len(limiter.others())
-	return others > 0 && unanswered >= min(others, isolatingSilence)
+	return others > 0 && unresponsive >= min(others, isolationPeers)
 }
 
-// isAlone reports whether no other instance can be reached, and gives up the
-// buckets that lie here after an absence.
-func (limiter *Limiter) isAlone() bool {
-	isolated := limiter.isSilent()
+// checkIsolation reports whether no other instance can be reached. It drops the
+// buckets held here if this instance was suspended or isolated.
+func (limiter *Limiter) checkIsolation() bool {
+	isolated := limiter.isUnreachable()
 	limiter.mu.Lock()
 	defer limiter.mu.Unlock()
 	now := limiter.clock.Now()
-	absent := now.Sub(limiter.beaten)
-	if absent > mostAbsence || limiter.isolated && !isolated {
-		limiter.log.Info("back after an absence: quotas are asked for again", "absent", absent, "isolated", limiter.isolated, "organisations", len(limiter.buckets))
+	absent := now.Sub(limiter.lastHeartbeat)
+	if absent > maxHeartbeatGap || limiter.isolated && !isolated {
+		limiter.log.Info("contact restored after suspension or isolation: local quota balances dropped", "absent", absent, "isolated", limiter.isolated, "organisations", len(limiter.buckets))
 		clear(limiter.buckets)
-		limiter.present, limiter.beaten = now, now
+		limiter.activeSince, limiter.lastHeartbeat = now, now
 	}
 	limiter.isolated = isolated
 	return isolated
 }
 
-func (limiter *Limiter) sincePresent() time.Duration {
+// activeFor returns how long this instance has been running and in contact.
+func (limiter *Limiter) activeFor() time.Duration {
 	limiter.mu.Lock()
 	defer limiter.mu.Unlock()
-	return limiter.clock.Now().Sub(limiter.present)
+	return limiter.clock.Now().Sub(limiter.activeSince)
 }
 
-// Watch probes the instances in whose place this one stands until ctx ends;
-// then it reports on done.
+// Watch calls Probe every probeInterval until ctx ends, then reports on done.
 func (limiter *Limiter) Watch(ctx context.Context, done chan<- error) {
 	clock.Every(ctx, probeInterval, func(time.Time) { limiter.Probe(ctx) }, done)
 }
