--- a/budget/budget_test.go
+++ b/budget/budget_test.go
@@ -17,6 +17,7 @@
 	version uint64
 }
 
+// write replaces the row if it is at version, and reports whether it was.
 func (r *row) write(t *testing.T, ledger *budget.Ledger, version uint64) bool {
 	t.Helper()
 	if r.version != version {
@@ -28,6 +29,7 @@
 	return true
 }
 
+// read returns the decoded row.
 func (r *row) read(t *testing.T) *budget.Ledger {
 	t.Helper()
 	ledger, err := budget.DecodeLedger(r.data)
@@ -35,19 +37,20 @@
 	return ledger
 }
 
+// newUsage returns the usage of an account that has just read the row.
 func newUsage(t *testing.T, owner string, r *row) *budget.Usage {
 	t.Helper()
 	return budget.NewUsage(owner, r.read(t), r.version)
 }
 
-// decide returns the decision alone.
+// decide returns the decision on a turn without the row.
 func decide(usage *budget.Usage, turn, total int64) budget.Decision {
 	decision, _ := usage.Decide(budget.Whole(turn), total)
 	return decision
 }
 
-// wanted returns the row that grants a turn.
-func wanted(usage *budget.Usage, turn, total int64) *budget.Ledger {
+// grantRow returns the row that grants a turn.
+func grantRow(usage *budget.Usage, turn, total int64) *budget.Ledger {
 	_, ledger := usage.Decide(budget.Whole(turn), total)
 	return ledger
 }
@@ -68,13 +71,13 @@
 	r := &row{}
 	a, b := newUsage(t, "a.1", r), newUsage(t, "b.1", r)
 	grant(t, a, r, turn, total)
-	assert.EqualValues(t, 567+(1701-567)/3, a.Granted(), "the turn and a third of what is left")
-	assert.Equal(t, budget.DecisionGrant, decide(b, turn, total), "b does not know of a yet")
-	assert.False(t, r.write(t, wanted(b, turn, total), b.Version()), "its condition finds out")
+	assert.EqualValues(t, 567+(1701-567)/3, a.Granted(), "the turn and a third of the remainder")
+	assert.Equal(t, budget.DecisionGrant, decide(b, turn, total), "b has not read a's grant yet")
+	assert.False(t, r.write(t, grantRow(b, turn, total), b.Version()), "its condition detects the newer version")
 	b.Written(r.read(t), r.version)
 	grant(t, b, r, turn, total)
 	c := newUsage(t, "c.1", r)
-	assert.Equal(t, budget.DecisionWait, decide(c, turn, total), "what is left is held")
+	assert.Equal(t, budget.DecisionWait, decide(c, turn, total), "other accounts hold the remaining tokens")
 	assert.Equal(t, []string{"a.1", "b.1"}, c.Holders())
 	a.End(budget.Whole(turn), turn)
 	b.End(budget.Whole(turn), turn)
@@ -84,41 +87,40 @@
 		require.NotNil(t, ledger)
 		require.True(t, r.write(t, ledger, usage.Version()))
 		usage.Written(ledger, r.version)
-		assert.Nil(t, usage.Release(false), "nothing left to give back")
+		assert.Nil(t, usage.Release(false), "no unused tokens to release")
 	}
 	c.Written(r.read(t), r.version)
 	grant(t, c, r, turn, total)
 	assert.Equal(t, budget.DecisionSpent, decide(c, turn, total))
 }
 
-// Symptom: a program hands out more than its budget. Events: instance a
-// gives back what it does not use, and the store's answer is lost; a reads
-// the row, which still shows the old grant, and serves a turn on it; the
-// write is applied seconds later, and b is granted the same tokens. Cause:
-// an unanswered write was taken for one that never happens.
-func TestLostReleaseIsNotSpentAgain(t *testing.T) {
+// Guards against tokens spent twice after an unconfirmed release. Instance a
+// releases unused tokens and the store's response is lost. a reads the row,
+// which still shows the old grant, and serves a turn on it. The write is
+// applied seconds later, and b is granted the same tokens. The fault was to
+// treat an unconfirmed write as one that is never applied.
+func TestReleaseWithLostResponseIsNotSpentAgain(t *testing.T) {
 	const turn, total = 400, 2000
 	r := &row{}
 	a := newUsage(t, "a.1", r)
 	grant(t, a, r, turn, total) // granted 933
 	a.End(budget.Whole(turn), 0)
-	late, condition := a.Release(false), a.Version()
-	require.NotNil(t, late)
-	a.Written(r.read(t), r.version) // still the old grant
+	delayed, condition := a.Release(false), a.Version()
+	require.NotNil(t, delayed)
+	a.Written(r.read(t), r.version) // the row still shows the old grant
 	assert.Equal(t, budget.DecisionGrant, decide(a, turn, total), "the old grant must not be used")
-	require.True(t, r.write(t, late, condition), "the late write arrives")
-	assert.False(t, r.write(t, wanted(a, turn, total), a.Version()))
+	require.True(t, r.write(t, delayed, condition), "the delayed write is applied")
+	assert.False(t, r.write(t, grantRow(a, turn, total), a.Version()))
 	a.Written(r.read(t), r.version)
 	assert.Zero(t, a.Granted())
 }
 
-// Symptom: a program hands out more than its budget, though every grant was
-// durable. Events: a turn needs a grant; before its row is made, another turn
-// of the program ends and leaves some over, so that the turn would be served
-// without one; the row is made all the same, with a grant of nothing, and
-// other instances are granted what is in use here. Cause: the decision and
-// the row were made at two moments.
-func TestRowOfGrantNeverTakesBackWhatIsInUse(t *testing.T) {
+// Guards against an overspent budget although every grant is durable. A turn
+// needs a grant; before its row is made, another turn of the program ends, and
+// its unused tokens cover the first. The row is made nevertheless, with a grant
+// of zero, and other instances are granted the tokens in use here. The fault
+// was to make the decision and the row from different states.
+func TestGrantRowCoversTokensInUse(t *testing.T) {
 	const turn, total = 300, 5000
 	r := &row{}
 	usage := newUsage(t, "a.1", r)
@@ -141,47 +143,48 @@
 	}
 }
 
-// TestRandomHistoriesNeverOverspend plays turns of one program through
-// instances that die, with writes that are lost, applied without an answer,
-// or applied late, and checks after each step that what callers were handed
-// stays within the budget. With the memory of an unanswered release taken out
-// it fails at seed 1367.
+// TestRandomHistoriesNeverOverspend runs turns of one program at instances that
+// crash, with writes that are lost, applied without a response, or applied
+// late. After each step the tokens delivered to callers must be within the
+// budget. If an unconfirmed release is not remembered, it fails at seed 1367.
 func TestRandomHistoriesNeverOverspend(t *testing.T) {
 	for seed := range uint64(1500) {
-		playHistory(t, seed)
+		runHistory(t, seed)
 	}
 }
 
-type late struct {
+// delayedWrite is a write that is applied later if the row is still at version.
+type delayedWrite struct {
 	ledger  *budget.Ledger
 	version uint64
 }
 
-func playHistory(t *testing.T, seed uint64) {
+// runHistory runs one random history and checks the budget after each step.
+func runHistory(t *testing.T, seed uint64) {
 	rng := rand.New(rand.NewPCG(seed, 1))
 	total := int64(600 + rng.IntN(2000))
 	r := &row{}
-	var pending []late
+	var pending []delayedWrite
 	usages := []*budget.Usage{}
 	type turn struct {
-		usage *budget.Usage
-		most  int64
+		usage     *budget.Usage
+		maxTokens int64
 	}
-	var flying []turn
-	var handed int64
+	var inFlight []turn
+	var delivered int64
 	names := 0
-	open := func() *budget.Usage {
+	newIncarnation := func() *budget.Usage {
 		names++
 		return newUsage(t, fmt.Sprintf("i.%d", names), r)
 	}
 	for range 2 {
-		usages = append(usages, open())
+		usages = append(usages, newIncarnation())
 	}
 	write := func(usage *budget.Usage, ledger *budget.Ledger) {
 		switch rng.IntN(3) {
-		case 0: // lost, and may be applied late
-			pending = append(pending, late{ledger, usage.Version()})
-		case 1: // applied, not answered
+		case 0: // lost, and may be applied later
+			pending = append(pending, delayedWrite{ledger, usage.Version()})
+		case 1: // applied, with the response lost
 			r.write(t, ledger, usage.Version())
 		default:
 			if r.write(t, ledger, usage.Version()) {
@@ -195,28 +198,28 @@
 		usage := usages[rng.IntN(len(usages))]
 		switch rng.IntN(9) {
 		case 0, 1, 2:
-			most := int64(50 + rng.IntN(300))
-			if decision, ledger := usage.Decide(budget.Whole(most), total); decision == budget.DecisionGrant {
+			maxTokens := int64(50 + rng.IntN(300))
+			if decision, ledger := usage.Decide(budget.Whole(maxTokens), total); decision == budget.DecisionGrant {
 				write(usage, ledger)
 			}
-			if decide(usage, most, total) == budget.DecisionServe {
-				usage.Begin(budget.Whole(most))
-				flying = append(flying, turn{usage, most})
+			if decide(usage, maxTokens, total) == budget.DecisionServe {
+				usage.Begin(budget.Whole(maxTokens))
+				inFlight = append(inFlight, turn{usage, maxTokens})
 			}
 		case 3, 4:
-			if len(flying) > 0 {
-				at := rng.IntN(len(flying))
-				done := flying[at]
-				flying = append(flying[:at], flying[at+1:]...)
-				spent := rng.Int64N(2) * done.most
-				handed += spent
-				done.usage.End(budget.Whole(done.most), spent)
+			if len(inFlight) > 0 {
+				at := rng.IntN(len(inFlight))
+				done := inFlight[at]
+				inFlight = append(inFlight[:at], inFlight[at+1:]...)
+				spent := rng.Int64N(2) * done.maxTokens
+				delivered += spent
+				done.usage.End(budget.Whole(done.maxTokens), spent)
 			}
 		case 5:
 			if ledger := usage.Release(false); ledger != nil {
 				write(usage, ledger)
 			}
-		case 6, 7: // late writes arrive, or the row is read again
+		case 6, 7: // a delayed write is applied, or the row is read again
 			if len(pending) > 0 && rng.IntN(2) == 0 {
 				last := pending[len(pending)-1]
 				r.write(t, last.ledger, last.version)
@@ -224,22 +227,22 @@
 			} else {
 				usage.Written(r.read(t), r.version)
 			}
-		case 8: // the instance dies: its turns handed out what they could
-			for i := len(flying) - 1; i >= 0; i-- {
-				if flying[i].usage == usage {
-					handed += flying[i].most
-					flying = append(flying[:i], flying[i+1:]...)
+		case 8: // the instance crashes: its turns spent their maximum
+			for i := len(inFlight) - 1; i >= 0; i-- {
+				if inFlight[i].usage == usage {
+					delivered += inFlight[i].maxTokens
+					inFlight = append(inFlight[:i], inFlight[i+1:]...)
 				}
 			}
 			for i := range usages {
 				if usages[i] == usage {
-					usages[i] = open()
+					usages[i] = newIncarnation()
 				}
 			}
 		}
-		promised := handed
-		for _, turn := range flying {
-			promised += turn.most
+		promised := delivered
+		for _, turn := range inFlight {
+			promised += turn.maxTokens
 		}
 		require.LessOrEqual(t, promised, total, "seed %d", seed)
 	}
--- a/budget/escrow.go
+++ b/budget/escrow.go
@@ -9,40 +9,44 @@
 	"github.com/wagtaildrum/wagtaildrum/codec"
 )
 
-// escrowPercent of a budget is handed out by escrow. If the instance dies, the rest
-// must hold what a program needs by rows: one of a single turn, which may
-// generate 63 to 65 % of its budget, is the hardest. Turns spend a third of
-// their most, and begin with a part: 30 % then holds the first turn of 89 to
-// 92 of 100 short programs and 98 long ones, and all turns of 67 and 78 to 88.
-// 50 % held all turns of 93 and 97, but after a loss of power of all instances
-// one program in five was refused or broken off in the middle of its answer.
+// escrowPercent is the percentage of a budget that may be granted by escrow. If
+// the instance crashes, the remainder must cover what a program needs through
+// rows. The hardest case is a program of a single turn, which may generate 63
+// to 65 % of its budget. Turns spend a third of their maximum and begin with a
+// partial grant. Under these conditions 30 % covers the first turn of 89 to 92
+// of 100 short programs and 98 of 100 long ones, and all turns of 67 short and
+// 78 to 88 long ones. 50 % covered all turns of 93 and 97, but after a power
+// loss of all instances one program in five was rejected or aborted in the
+// middle of its response.
 const escrowPercent = 30
 
-// Shards divide the programs by hash: all programs of a shard have the same
-// home, and one escrow at most. An instance writes the escrows of its own
-// shards only, so that instances that start together do not wait for each
-// other. More shards than instances, or some instances are no program's home;
-// each costs its home two rows of a transaction when it starts. A multiple of
-// the store's partitions, so that a shard lies in one of them.
+// Shards is the number of shards into which programs are divided by hash. All
+// programs of a shard have the same home, and a shard has at most one escrow.
+// An instance writes the escrows of its own shards only, so that instances that
+// start together do not wait for each other. With fewer shards than instances,
+// some instances would be the home of no program. Each shard costs its home two
+// rows of a transaction at its start. The number is a multiple of the store's
+// partitions, so that each shard lies in a single partition.
 const Shards = 960
 
 // Shard returns the shard of a program.
 func Shard(program string) int { return int(xxhash.Sum64String(program) % Shards) }
 
-// Escrow is the right of one start of an entry instance to hand out a part
-// of the budgets of programs that have no row yet, without writing one: of
-// those of one shard. It ends when that instance itself closes it. One whose
-// instance died stays: nobody knows what it handed out. The zero value is
-// that of a shard that nobody acquired.
+// Escrow is the right of one incarnation of an entry instance to grant a part
+// of the budgets of all programs of one shard that have no row yet, without
+// writing a row. It ends only when that incarnation closes it. The escrow of a
+// crashed instance remains, since the tokens granted under it are unknown. The
+// zero value is the escrow of a shard that no instance has acquired.
 type Escrow struct {
-	// Account is the account that the right is about; no other start of any
-	// instance may use it.
+	// Account is the account to which the right belongs. No other incarnation
+	// of any instance may use it.
 	Account string `cbor:"a"`
-	// Instance names the instance; its next start has the same name.
+	// Instance is the name of the instance, which its next incarnation shares.
 	Instance string `cbor:"i"`
 }
 
-// DecodeEscrow reads an escrow as Encode wrote it. No bytes are none.
+// DecodeEscrow decodes the output of Encode. It returns the zero value for
+// empty data, and an error if the data is malformed.
 func DecodeEscrow(data []byte) (Escrow, error) {
 	var escrow Escrow
 	if len(data) == 0 {
@@ -52,17 +56,17 @@
 	return escrow, eris.Wrap(err, "escrow")
 }
 
-// Encode returns the escrow's bytes, never none.
+// Encode returns the encoded escrow, which is never empty.
 func (escrow Escrow) Encode() ([]byte, error) {
 	data, err := codec.Marshal(escrow)
 	return data, eris.Wrap(err, "escrow")
 }
 
-// Stands reports whether there is one.
+// Stands reports whether an instance has acquired the escrow.
 func (escrow Escrow) Stands() bool { return escrow.Account != "" }
 
-// Implied returns the ledger of a program of the shard that has no row, under
-// the budget total.
+// Implied returns the ledger of a program of the shard that has no row and a
+// budget of total tokens.
 func (escrow Escrow) Implied(total int64) *Ledger {
 	ledger := &Ledger{Accounts: map[string]Account{}}
 	if escrow.Stands() {
@@ -71,11 +75,12 @@
 	return ledger
 }
 
-// Score is an instance's weight in the choice of a shard's home.
+// Score returns the weight of an instance in the rendezvous hashing of a shard.
 func Score(shard int, instance string) uint64 {
 	return shardScore(shard, xxhash.Sum64String(instance))
 }
 
+// shardScore returns Score for an instance given by the hash of its name.
 func shardScore(shard int, instance uint64) uint64 {
 	var key [16]byte
 	binary.LittleEndian.PutUint64(key[:8], instance)
@@ -83,8 +88,8 @@
 	return xxhash.Sum64(key[:])
 }
 
-// Home returns which of instances is the home of a program, by rendezvous
-// hashing of its shard.
+// Home returns the home of a program among instances, by rendezvous hashing of
+// its shard, or "" if there are no instances.
 func Home(program string, instances []string) string {
 	home, best, shard := "", uint64(0), Shard(program)
 	for _, instance := range instances {
@@ -95,8 +100,8 @@
 	return home
 }
 
-// HomeShards returns the shards whose home among instances is the one given, in
-// ascending order.
+// HomeShards returns, in ascending order, the shards of which instance is the
+// home among instances.
 func HomeShards(instance string, instances []string) []int {
 	hashes := make([]uint64, 0, len(instances))
 	for _, other := range instances {
@@ -104,19 +109,20 @@
 			hashes = append(hashes, xxhash.Sum64String(other))
 		}
 	}
-	own := xxhash.Sum64String(instance)
+	ownHash := xxhash.Sum64String(instance)
 	var shards []int
 	for shard := range Shards {
-		if isHome(shard, own, hashes) {
+		if isHome(shard, ownHash, hashes) {
 			shards = append(shards, shard)
 		}
 	}
 	return shards
 }
 
-// isHome reports whether no other instance scores as much as own in a shard.
-func isHome(shard int, own uint64, others []uint64) bool {
-	score := shardScore(shard, own)
+// isHome reports whether ownHash has a higher score in the shard than each of
+// the others.
+func isHome(shard int, ownHash uint64, others []uint64) bool {
+	score := shardScore(shard, ownHash)
 	for _, other := range others {
 		if shardScore(shard, other) >= score {
 			return false
--- a/budget/escrow_test.go
+++ b/budget/escrow_test.go
@@ -17,7 +17,7 @@
 	for _, one := range []budget.Escrow{escrow, {}} {
 		data, err := one.Encode()
 		require.NoError(t, err)
-		require.NotEmpty(t, data, "the store takes no row without a value")
+		require.NotEmpty(t, data, "the store rejects a row without a value")
 		decoded, err := budget.DecodeEscrow(data)
 		require.NoError(t, err)
 		assert.Equal(t, one, decoded)
@@ -27,25 +27,25 @@
 	assert.False(t, none.Stands())
 }
 
-// Each shard has one home, whoever looks, and an instance that comes or goes
-// moves its own shards only.
+// Each shard has a single home in the view of every instance, and an instance
+// that joins or leaves moves its own shards only.
 func TestShardsHaveOneHome(t *testing.T) {
 	var names []string
 	for n := range 84 {
 		names = append(names, fmt.Sprint("i", n))
 	}
 	homes := map[int]string{}
-	most := 0
+	largest := 0
 	for _, name := range names {
 		shards := budget.HomeShards(name, names)
-		most = max(most, len(shards))
+		largest = max(largest, len(shards))
 		for _, shard := range shards {
 			require.Empty(t, homes[shard])
 			homes[shard] = name
 		}
 	}
 	assert.Len(t, homes, budget.Shards)
-	assert.LessOrEqual(t, most, 3*budget.Shards/len(names), "none has far more than the others")
+	assert.LessOrEqual(t, largest, 3*budget.Shards/len(names), "no instance has far more shards than the others")
 	for n := range 200 {
 		program := fmt.Sprint("p", n)
 		assert.Equal(t, homes[budget.Shard(program)], budget.Home(program, names))
--- a/budget/ledger.go
+++ b/budget/ledger.go
@@ -11,34 +11,35 @@
 	"github.com/wagtaildrum/wagtaildrum/codec"
 )
 
-// maxDescribed bounds the accounts in a description, and so the length of a
-// log line: most programs have one to three.
+// maxDescribed bounds the number of accounts in a description, and thereby the
+// length of a log line. Most programs have one to three accounts.
 const maxDescribed = 6
 
-// Account is one instance's part of a program's budget, in tokens.
+// Account is the share of one instance in a program's budget, in tokens.
 type Account struct {
-	// Granted may be handed out by the instance without asking again.
+	// Granted is what the instance may spend without a further grant.
 	Granted int64 `cbor:"g"`
-	// Used is what it had handed out, or its turns in flight might hand out,
-	// when the row was written.
+	// Used is, as of the time the row was written, what the instance had spent
+	// plus the maximum that its turns in flight may spend.
 	Used int64 `cbor:"u"`
-	// Escrowed tells an account that an escrow implied: what of it is used is
-	// known only to its owner.
+	// Escrowed is set if the account is implied by an escrow. Only its owner
+	// has a record of the tokens used.
 	Escrowed bool `cbor:"h,omitempty"`
-	// Stopped tells that the owner has stopped and left turns in flight
-	// elsewhere, Reserved what these may still ask other accounts for.
+	// Stopped is set if the owner has stopped while it had turns in flight
+	// elsewhere. Reserved is what these turns may still request from other
+	// accounts.
 	Stopped  bool  `cbor:"s,omitempty"`
 	Reserved int64 `cbor:"r,omitempty"`
 }
 
-// Ledger is the durable state of a program's budget: an account for each
-// start of an entry instance that served a turn of it.
+// Ledger is the durable state of a program's budget. It has an account for each
+// incarnation of an entry instance that served a turn of the program.
 type Ledger struct {
 	Accounts map[string]Account `cbor:"a"`
 }
 
-// DecodeLedger reads a ledger as Encode wrote it. No bytes are an empty
-// ledger.
+// DecodeLedger decodes the output of Encode. It returns an empty ledger for
+// empty data, and an error if the data is malformed.
 func DecodeLedger(data []byte) (*Ledger, error) {
 	ledger := &Ledger{}
 	if len(data) > 0 {
@@ -52,13 +53,14 @@
 	return ledger, nil
 }
 
-// Encode returns the ledger's bytes.
+// Encode returns the encoded ledger.
 func (ledger *Ledger) Encode() ([]byte, error) {
 	data, err := codec.Marshal(ledger)
 	return data, eris.Wrap(err, "encode budget ledger")
 }
 
-// String describes the accounts for logs, by name, maxDescribed at most.
+// String describes the accounts for logs, sorted by name and limited to
+// maxDescribed.
 func (ledger *Ledger) String() string {
 	names := slices.Sorted(maps.Keys(ledger.Accounts))
 	described := make([]string, 0, maxDescribed)
@@ -69,31 +71,32 @@
 	return fmt.Sprintf("accounts=%d %s", len(names), strings.Join(described, " "))
 }
 
-// unused reports whether an escrow implied the account, and the row tells of no
-// token that it handed out. Its owner writes what it handed out before it forgets
-// the program or releases the escrow.
+// unused reports whether the account is implied by an escrow and the row
+// records no tokens used. The owner records the tokens it has used before it
+// drops the program from memory or releases the escrow.
 func (account Account) unused() bool {
 	return account.Escrowed && account.Used == 0 && account.Granted > 0
 }
 
-// without returns a copy that lacks the account of a name.
-func (ledger *Ledger) without(name string) *Ledger {
+// withoutAccount returns a copy of the ledger that lacks the named account.
+func (ledger *Ledger) withoutAccount(name string) *Ledger {
 	accounts := maps.Clone(ledger.Accounts)
 	delete(accounts, name)
 	return &Ledger{Accounts: accounts}
 }
 
-// Disown returns a copy without an account that an escrow implied, and whether
-// there is one that handed out nothing.
+// Disown returns a copy of the ledger without the named account, and true, if
+// the account is implied by an escrow and unused. Otherwise it returns the
+// ledger itself and false.
 func (ledger *Ledger) Disown(name string) (*Ledger, bool) {
 	if !ledger.Accounts[name].unused() {
 		return ledger, false
 	}
-	return ledger.without(name), true
+	return ledger.withoutAccount(name), true
 }
 
-// others returns what all accounts but the one of owner hold together.
-func (ledger *Ledger) others(owner string) Account {
+// otherAccounts returns the sum of all accounts but the owner's.
+func (ledger *Ledger) otherAccounts(owner string) Account {
 	var sum Account
 	for name, account := range ledger.Accounts {
 		if name != owner {
@@ -105,8 +108,8 @@
 	return sum
 }
 
-// takeReserved takes tokens off what stopped accounts reserve: another account
-// grants them now, and they would count twice.
+// takeReserved deducts tokens from the reservations of stopped accounts.
+// Another account grants the tokens now, and they would be counted twice.
 func (ledger *Ledger) takeReserved(tokens int64) {
 	for _, name := range slices.Sorted(maps.Keys(ledger.Accounts)) {
 		account := ledger.Accounts[name]
@@ -117,9 +120,9 @@
 	}
 }
 
-// Holders returns the owners of the accounts, other than owner's, that grant
-// anything. What they have used is as of when the row was written: turns
-// that ended since may have left some over.
+// Holders returns the sorted owners of accounts with a grant, other than owner.
+// Their recorded use dates from the last write of the row, so turns that have
+// ended since may have left unused tokens.
 func (ledger *Ledger) Holders(owner string) []string {
 	var holders []string
 	for name, account := range ledger.Accounts {
@@ -131,70 +134,73 @@
 	return holders
 }
 
-// Decision is what may happen to a turn.
+// Decision is the outcome of a turn's request for tokens.
 type Decision int
 
 //go:generate stringer -type=Decision -trimprefix=Decision
 
-// Decisions.
+// Values of Decision.
 const (
-	// DecisionServe: the account already grants the turn.
+	// DecisionServe is returned when the account already covers the turn.
 	DecisionServe Decision = iota
-	// DecisionGrant: the row has to be written first.
+	// DecisionGrant is returned when a row with a larger grant has to be
+	// written first.
 	DecisionGrant
-	// DecisionWait: other instances hold what is left, and may give some
-	// of it back.
+	// DecisionWait is returned when other instances hold the remaining tokens,
+	// and may release some of them.
 	DecisionWait
-	// DecisionSpent: the budget does not hold the turn.
+	// DecisionSpent is returned when the budget does not cover the turn.
 	DecisionSpent
 )
 
-// A grant holds some headroom beside the turn, so that a program goes on for
-// some turns while the store is away, and needs no write for each. What an
-// instance was granted counts as spent if it dies, so headroom is kept small
-// against what a program can lose: a turn spends about half of its most, and
-// a budget is about 1.6 times the most of all turns.
+// A grant includes some headroom beyond the turn. It lets a program continue
+// for some turns while the store is unavailable, and saves a write for each of
+// them. The grant of a crashed instance counts as spent, so the headroom is
+// small compared with what a program can afford to lose: a turn spends about
+// half of its maximum, and a budget is about 1.6 times the maximum of all
+// turns.
 const (
-	// headroomShare: one part in headroomShare of what is left, for the
-	// first account; the next accounts take a quarter of that, a ninth, and
-	// so on: they are there while the first cannot be asked. With a third, programs of the usual three to eleven turns need no
-	// second grant; with a quarter they do. A program whose lines come
-	// through all instances, which then lose power together, keeps half of
-	// what was left.
-	headroomShare = 3
-	// headroomTurns bounds the headroom to what some eighteen usual turns
-	// spend, ten seconds or so.
+	// headroomDivisor divides the unallocated remainder: the first account gets
+	// one part in headroomDivisor as headroom, and the following accounts a
+	// quarter of that, a ninth, and so on. These serve while the first is
+	// unavailable. With a third, programs of the usual three to eleven turns
+	// need no second grant; with a quarter they do. A program whose requests
+	// arrive at all instances, which then lose power together, keeps half of
+	// the remainder.
+	headroomDivisor = 3
+	// headroomTurns bounds the headroom to what about eighteen typical turns
+	// spend, which is roughly ten seconds of work.
 	headroomTurns = 12
 )
 
-// decide returns the decision on a turn that needs the account of owner to
-// grant need tokens now, and up to most if all its turns in flight hand out
-// what they can, with total the program's budget. For DecisionServe and
-// DecisionGrant it also returns the amount that the account grants then. A turn
-// that the budget may not hold to its end is not begun; one that was begun has
-// its rest if that is not granted to others.
-func (ledger *Ledger) decide(owner string, need, most int64, turn Turn, total int64) (Decision, int64) {
+// decide returns the decision on a turn of a program whose budget is total. The
+// turn requires the account of owner to grant need tokens now, and up to
+// worstCase tokens if all its turns in flight spend their maximum. For
+// DecisionServe and DecisionGrant it also returns the resulting grant of the
+// account. A turn whose maximum may exceed the budget is not started. A turn
+// that has started gets its remainder unless that is granted to others.
+func (ledger *Ledger) decide(owner string, need, worstCase int64, turn Turn, total int64) (Decision, int64) {
 	granted := ledger.Accounts[owner].Granted
-	if need <= granted && most <= granted {
+	if need <= granted && worstCase <= granted {
 		return DecisionServe, granted
 	}
-	others := ledger.others(owner)
-	if others.Used+others.Reserved+most > total && !turn.Rest {
+	otherAccounts := ledger.otherAccounts(owner)
+	if otherAccounts.Used+otherAccounts.Reserved+worstCase > total && !turn.Rest {
 		return DecisionSpent, 0
 	}
 	if need <= granted {
 		return DecisionServe, granted
 	}
-	free := total - others.Granted
+	free := total - otherAccounts.Granted
 	if need > free {
 		return DecisionWait, 0
 	}
-	// A row that is written grants its turns to their ends.
-	need = max(need, min(most, free))
-	left := free - need
+	// A written row grants its turns up to their maximum.
+	need = max(need, min(worstCase, free))
+	remaining := free - need
 	accounts := int64(len(ledger.Accounts))
-	if _, own := ledger.Accounts[owner]; !own {
+	if _, hasAccount := ledger.Accounts[owner]; !hasAccount {
 		accounts++
 	}
-	return DecisionGrant, need + min(left/(headroomShare*accounts*accounts), headroomTurns*turn.Part)
+	return DecisionGrant, need + min(remaining/(headroomDivisor*accounts*accounts), headroomTurns*turn.Part)
 }
--- a/budget/usage.go
+++ b/budget/usage.go
@@ -2,93 +2,99 @@
 
 import "fmt"
 
-// Turn is what a turn asks of a budget.
+// Turn is the request of a turn for tokens of a budget.
 type Turn struct {
-	// Part is what it may hand out before it asks for more.
+	// Part is what the turn may spend before it requests more.
 	Part int64
-	// Most is what it may hand out in all, as far as the account has not
-	// counted it: 0 for another part of a turn that the account began.
+	// Most is the maximum that the turn may spend in total, as far as the
+	// account has not counted it yet. It is 0 for a further part of a turn that
+	// the same account started.
 	Most int64
-	// Rest tells another part of a turn that was begun, by whichever account.
-	// That the budget holds the turn was found then.
+	// Rest is set for a further part of a turn that has started, at any
+	// account. The check that the budget covers the turn was made at its start.
 	Rest bool
-	// Taken tells a part whose tokens are off what a stopped account
-	// reserves.
+	// Taken is set if the tokens of the part are already deducted from the
+	// reservation of a stopped account.
 	Taken bool
 }
 
-// Whole returns a turn that asks for all at once.
-func Whole(most int64) Turn { return Turn{Part: most, Most: most} }
+// Whole returns a turn that requests its maximum at once.
+func Whole(maxTokens int64) Turn { return Turn{Part: maxTokens, Most: maxTokens} }
 
-// firstPercent of what a turn may generate is promised as it begins with a
-// part: turns spend 34 to 36 % in the mean, and two in three no more than 40 %.
-const firstPercent = 40
+// initialPercent is the percentage of its maximum that a turn is promised when
+// it starts with a partial grant. Turns spend 34 to 36 % on average, and two in
+// three at most 40 %.
+const initialPercent = 40
 
-// FirstPart returns what a turn of most tokens begins with.
-func FirstPart(most int64) Turn {
-	return Turn{Part: (most*firstPercent + 99) / 100, Most: most}
+// FirstPart returns the request for the initial part of a turn of at most
+// maxTokens tokens.
+func FirstPart(maxTokens int64) Turn {
+	return Turn{Part: (maxTokens*initialPercent + 99) / 100, Most: maxTokens}
 }
 
-// Usage is what one instance knows of one program's budget. It is not safe
-// for concurrent use.
+// Usage is the view of one instance on the budget of one program. It is not
+// safe for concurrent use.
 type Usage struct {
 	owner   string
 	ledger  *Ledger
 	version uint64
-	// settled tokens were handed out by turns that ended; promised ones may
-	// be by turns in flight, which may ask for more, up to most.
-	settled, promised, most int64
-	// A release that was sent may be applied at any time while the row is
-	// at version releasedAt: until it is known to have moved on, no more
-	// than released is granted.
+	// settled is what ended turns have spent. promised is what turns in flight
+	// may spend now, and worstCase what they may spend in total, further parts
+	// included.
+	settled, promised, worstCase int64
+	// A row sent by Release may be applied at any time while the row is at
+	// version releasedAt. Until a newer version is read, no more than released
+	// is granted.
 	releasing  bool
 	releasedAt uint64
 	released   int64
-	// While the row is at version uncertainAt it may grant more than the ledger
-	// tells: one that was sent and not answered may be applied, or what an
-	// unused escrow was granted is left out here.
+	// While the row is at version uncertainAt, the stored row may grant more
+	// than ledger: a row sent without a response may have been applied, or
+	// ledger omits the grant of an unused escrow.
 	uncertain   bool
 	uncertainAt uint64
 }
 
 // NewUsage returns the usage of the account owner, which must never have been
-// used before, with the program's row as read: version 0 for none.
+// used before. ledger and version are the program's row as read, with version 0
+// if there is no row.
 func NewUsage(owner string, ledger *Ledger, version uint64) *Usage {
 	return &Usage{owner: owner, ledger: ledger, version: version}
 }
 
-// Owner returns the name of the own account.
+// Owner returns the name of the local account.
 func (usage *Usage) Owner() string { return usage.owner }
 
-// Version returns the version of the row that the usage builds on.
+// Version returns the version of the row on which the usage is based.
 func (usage *Usage) Version() uint64 { return usage.version }
 
-// Used returns what this instance has handed out or promised.
+// Used returns what this instance has spent or promised.
 func (usage *Usage) Used() int64 { return usage.settled + usage.promised }
 
-// Granted returns what the row grants this instance.
+// Granted returns what the row grants to this instance.
 func (usage *Usage) Granted() int64 { return usage.ledger.Accounts[usage.owner].Granted }
 
-// Holders returns the other accounts that may have something to give back.
+// Holders returns the owners of other accounts that may have unused tokens to
+// release.
 func (usage *Usage) Holders() []string { return usage.ledger.Holders(usage.owner) }
 
-// String describes the usage for logs: what its own turns hold, and the row.
+// String describes the usage for logs: the local counts and the row.
 func (usage *Usage) String() string {
-	return fmt.Sprintf("own settled=%d promised=%d most=%d, row version=%d %s", usage.settled, usage.promised, usage.most, usage.version, usage.ledger)
+	return fmt.Sprintf("own settled=%d promised=%d most=%d, row version=%d %s", usage.settled, usage.promised, usage.worstCase, usage.version, usage.ledger)
 }
 
-// Idle reports whether no turn is in flight here.
+// Idle reports whether no turn is in flight at this instance.
 func (usage *Usage) Idle() bool { return usage.promised == 0 }
 
-// Escrowed reports whether the account is that of an escrow, and no other instance is
-// known to have one.
+// Escrowed reports whether the local account is implied by an escrow and the
+// ledger has no other account.
 func (usage *Usage) Escrowed() bool {
 	return usage.ledger.Accounts[usage.owner].Escrowed && len(usage.ledger.Accounts) == 1
 }
 
-// Alone reports whether no other instance but that of an escrow has an
-// account. If that one is gone for good, what is left is for this one, though
-// it may be less than a turn can generate.
+// Alone reports whether each other account is implied by an escrow. If the
+// instance of that escrow is gone for good, the remaining tokens belong to this
+// instance, though they may be less than a turn can generate.
 func (usage *Usage) Alone() bool {
 	for name, account := range usage.ledger.Accounts {
 		if name != usage.owner && !account.Escrowed {
@@ -98,35 +104,35 @@
 	return true
 }
 
-// Decide says what may happen to a turn, or to a turn in flight that needs
-// another part, under the budget total. For DecisionGrant it also returns the
-// row that grants the part: that has to be made durable, then Written called,
-// and the turn decided again. The two come from one look at the usage, since a
-// turn that ends in between changes what is needed. What a stopped account
-// reserves for a turn is taken off there as another account grants it, by a row
-// also where that account holds it already.
+// Decide returns the decision on a turn, or on a further part of a turn in
+// flight, under the budget total. For DecisionGrant it also returns the row
+// that grants the part. The caller has to make the row durable, call Written,
+// and decide again. Decision and row are made from the same state, since a turn
+// that ends in between changes the required grant. Tokens that a stopped
+// account reserves for the turn are deducted there when this account grants
+// them, which takes a row even if the account already covers them.
 func (usage *Usage) Decide(turn Turn, total int64) (Decision, *Ledger) {
-	most := usage.settled + usage.most + turn.Most
-	decision, amount := usage.ledger.decide(usage.owner, usage.Used()+turn.Part, most, turn, total)
-	takes := turn.Rest && turn.Most > 0 && !turn.Taken && usage.ledger.others(usage.owner).Reserved > 0
-	if decision == DecisionServe && takes {
+	worstCase := usage.settled + usage.worstCase + turn.Most
+	decision, amount := usage.ledger.decide(usage.owner, usage.Used()+turn.Part, worstCase, turn, total)
+	takesReserved := turn.Rest && turn.Most > 0 && !turn.Taken && usage.ledger.otherAccounts(usage.owner).Reserved > 0
+	if decision == DecisionServe && takesReserved {
 		decision = DecisionGrant
 	}
 	if decision != DecisionGrant {
 		return decision, nil
 	}
-	ledger := usage.with(Account{Granted: amount, Used: most})
-	if takes {
+	ledger := usage.withAccount(Account{Granted: amount, Used: worstCase})
+	if takesReserved {
 		ledger.takeReserved(turn.Most)
 	}
 	return decision, ledger
 }
 
-// Fits reports whether the budget total may hold the turn once all others gave
-// back what they do not use, but for the accounts that are gone: what these
-// were granted counts as used.
+// Fits reports whether the budget total may cover the turn once all other
+// accounts have released their unused tokens. Accounts for which gone returns
+// true can't release any: their grants count as used.
 func (usage *Usage) Fits(turn Turn, total int64, gone func(account string) bool) bool {
-	used := usage.settled + usage.most + turn.Most
+	used := usage.settled + usage.worstCase + turn.Most
 	for name, account := range usage.ledger.Accounts {
 		switch {
 		case name == usage.owner:
@@ -139,22 +145,25 @@
 	return used <= total
 }
 
-// Release returns the row that gives back what this instance was granted
-// and does not use; nil if there is nothing to give back. From then on the
-// usage grants no more than that, whether or not the row is known to be
-// written: a write whose answer was lost may be applied seconds later, and
-// what was handed out against the old grant in between would be spent twice.
-// With last the instance stops: what its turns in flight elsewhere may still ask
-// for is reserved, for other accounts to grant. After Unanswered or Disown
-// there is a row to write though the ledger tells nothing to give back: once it is
-// written, one without an answer is known, or void.
+// Release returns the row that releases the unused tokens granted to this
+// instance, or nil if there are none. From then on the usage grants no more
+// than the row, whether or not the write is confirmed: a write whose response
+// was lost may be applied seconds later, and tokens spent in between under the
+// old grant would be spent twice.
+//
+// If last is set, the instance is stopping, and what its turns in flight
+// elsewhere may still request is reserved for other accounts to grant.
+//
+// After Unanswered or Disown, Release returns a row even if the ledger shows
+// nothing to release. Once that row is written, a preceding row without a
+// response is either visible or void.
 func (usage *Usage) Release(last bool) *Ledger {
 	account := usage.ledger.Accounts[usage.owner]
-	settled := Account{Granted: usage.Used(), Used: usage.settled + usage.most, Escrowed: account.Escrowed}
+	settled := Account{Granted: usage.Used(), Used: usage.settled + usage.worstCase, Escrowed: account.Escrowed}
 	if last {
-		settled.Used, settled.Reserved = settled.Granted, usage.most-usage.promised
+		settled.Used, settled.Reserved = settled.Granted, usage.worstCase-usage.promised
 		if account.Stopped {
-			// Others may have taken some of it since.
+			// Other accounts may have granted a part of the reservation since.
 			settled.Reserved = min(settled.Reserved, account.Reserved)
 		}
 		settled.Stopped = account.Stopped || settled.Reserved > 0
@@ -162,15 +171,15 @@
 	if account == settled && !usage.releasing && !usage.uncertain {
 		return nil
 	}
-	ledger := usage.with(settled)
+	ledger := usage.withAccount(settled)
 	usage.releasing, usage.releasedAt, usage.released = true, usage.version, settled.Granted
 	usage.ledger = ledger
 	return ledger
 }
 
-// with returns the ledger with the own account set.
-func (usage *Usage) with(account Account) *Ledger {
-	next := usage.ledger.without(usage.owner)
+// withAccount returns a copy of the ledger with the local account set.
+func (usage *Usage) withAccount(account Account) *Ledger {
+	next := usage.ledger.withoutAccount(usage.owner)
 	account.Escrowed = usage.ledger.Accounts[usage.owner].Escrowed
 	if account != (Account{}) {
 		next.Accounts[usage.owner] = account
@@ -178,14 +187,14 @@
 	return next
 }
 
-// Unanswered takes in that a row that Decide or Release returned was sent, and
-// no answer came.
+// Unanswered records that a row returned by Decide or Release was sent without
+// a response.
 func (usage *Usage) Unanswered() {
 	usage.uncertain, usage.uncertainAt = true, usage.version
 }
 
-// UnusedEscrows returns the other accounts that an escrow implied and that
-// handed out nothing as far as the row tells.
+// UnusedEscrows returns the owners of other accounts that are implied by an
+// escrow and unused according to the row.
 func (usage *Usage) UnusedEscrows() []string {
 	var unused []string
 	for name, account := range usage.ledger.Accounts {
@@ -196,9 +205,9 @@
 	return unused
 }
 
-// Disown takes an account of UnusedEscrows out of the ledger, and with the next
-// row out of the store. Its escrow must have handed out nothing of the program,
-// and must not any more.
+// Disown removes an account returned by UnusedEscrows from the ledger, and with
+// the next row from the store. Its escrow must not have granted any tokens of
+// the program, and must not grant any later.
 func (usage *Usage) Disown(name string) {
 	if name == usage.owner {
 		return
@@ -208,7 +217,7 @@
 	}
 }
 
-// Written takes in that the row stands as ledger at version.
+// Written records that the stored row is ledger at version.
 func (usage *Usage) Written(ledger *Ledger, version uint64) {
 	if version != usage.uncertainAt {
 		usage.uncertain = false
@@ -217,23 +226,23 @@
 		account := ledger.Accounts[usage.owner]
 		account.Granted = min(account.Granted, usage.released)
 		usage.ledger = ledger
-		usage.ledger = usage.with(account)
+		usage.ledger = usage.withAccount(account)
 		return
 	}
 	usage.releasing = false
 	usage.ledger, usage.version = ledger, version
 }
 
-// Begin promises what Decide said DecisionServe for.
+// Begin records the promise to a turn for which Decide returned DecisionServe.
 func (usage *Usage) Begin(turn Turn) {
 	usage.promised += turn.Part
-	usage.most += turn.Most
+	usage.worstCase += turn.Most
 }
 
-// End settles a turn, with all that was promised to it, that handed out spent
-// tokens.
+// End settles a turn that used spent tokens, and removes all that was promised
+// to it.
 func (usage *Usage) End(turn Turn, spent int64) {
 	usage.promised -= turn.Part
-	usage.most -= turn.Most
+	usage.worstCase -= turn.Most
 	usage.settled += spent
 }
