--- a/quota/fleet_test.go
+++ b/quota/fleet_test.go
@@ -37,7 +37,7 @@
 	limits    map[string]quota.Limit
 	changes   map[string][]change
 	sent      map[string][]time.Time
-	refused   int
+	rejected   int
 	// hostResponds is set if the machine of a crashed instance still responds,
 	// and reports that its process does not run.
 	hostResponds bool
@@ -275,7 +275,7 @@
 	request := quota.Request{Program: uint64(f.random.IntN(8)), New: f.random.IntN(4) == 0, Patience: time.Duration(f.random.IntN(400)) * time.Millisecond}
 	wait, err := m.limiter.Take(context.Background(), organisation, f.limits[organisation], request)
 	if err != nil {
-		f.refused++
+		f.rejected++
 		return
 	}
 	if f.random.IntN(20) == 0 {
@@ -437,7 +437,7 @@
 		f.check(organisation)
 	}
 	require.NotEmpty(f.t, f.sent["large"])
-	require.NotZero(f.t, f.refused)
+	require.NotZero(f.t, f.rejected)
 }
 
 // losePower crashes all instances, and restarts them soon after.
--- a/quota/limiter.go
+++ b/quota/limiter.go
@@ -44,8 +44,8 @@
 	// partitioned. Calls normally take milliseconds.
 	isolationPeers = 2
 	isolationTime  = 200 * time.Millisecond
-	// idleTTL is the time after which an unused bucket is dropped. It is full
-	// again after that time.
+	// idleTTL is the time after which an unused bucket is dropped, since it is
+	// full again. Unused credit and transfer records are dropped as well.
 	idleTTL = time.Minute
 )
 
@@ -96,9 +96,9 @@
 	Moved map[string]string
 }
 
-// ErrNotHome is returned by an instance that is not the home of the
-// organisation and can't reach the home.
-var ErrNotHome = errors.New("not the home instance of the organisation, and the home could not be reached")
+// ErrNotHome is returned by an instance that can't act as the home of the
+// organisation, and can't reach the home.
+var ErrNotHome = errors.New("no reachable home instance for the quota of the organisation")
 
 // ExhaustedError is returned when an organisation has no credit at present.
 type ExhaustedError struct {
@@ -111,7 +111,7 @@
 // Error names the organisation, its limit, the level of its bucket and its
 // home.
 func (e *ExhaustedError) Error() string {
-	return fmt.Sprintf("quota of organisation %s exhausted: rate %g/s, burst %g in version %d, %.1f requests remaining at home %s", e.organisation, e.limit.Rate, e.limit.Burst, e.limit.Version, e.level, e.home)
+	return fmt.Sprintf("quota of organisation %s exhausted: rate %g/s, burst %g of version %d, %.1f requests remaining at home %s", e.organisation, e.limit.Rate, e.limit.Burst, e.limit.Version, e.level, e.home)
 }
 
 // RetryAfter returns the time until credit is expected.
@@ -265,7 +265,9 @@
 	maxTerminated = 8
 )
 
-// attempts counts the calls made for one request.
+// attempts counts the calls made for one request. The first maxTerminated calls
+// that fail because the instance has terminated are counted in terminated, all
+// others in sent.
 type attempts struct{ sent, terminated int }
 
 // next reports whether another instance is called after a call that returned
