--- a/quota/fleet_test.go
+++ b/quota/fleet_test.go
@@ -37,7 +37,7 @@
 	limits    map[string]quota.Limit
 	changes   map[string][]change
 	sent      map[string][]time.Time
-	rejected   int
+	rejected  int
 	// hostResponds is set if the machine of a crashed instance still responds,
 	// and reports that its process does not run.
 	hostResponds bool
--- a/quota/reach.go
+++ b/quota/reachability.go
@@ -27,6 +27,8 @@
 
 // suspect is an instance that did not respond.
 type suspect struct {
+	// The suspicion lasts from since until until, a duration of backoff that
+	// doubles with each further failure.
 	since, until time.Time
 	backoff      time.Duration
 	// confirmed is set if another instance can't reach it either, or if it has
@@ -83,9 +85,9 @@
 	limiter.lastContact = now
 }
 
-// Heartbeat records a heartbeat, and must be called every heartbeatInterval while
-// the instance runs. After a gap, in which another instance may have taken
-// over, the buckets held here are outdated and are dropped.
+// Heartbeat records a heartbeat, and must be called every heartbeatInterval
+// while the instance runs. After a gap, in which another instance may have
+// taken over, the buckets held here are outdated and are dropped.
 func (limiter *Limiter) Heartbeat() {
 	limiter.checkIsolation()
 	limiter.mu.Lock()
