--- a/balance/doc.go
+++ b/balance/doc.go
@@ -1,6 +1,10 @@
-// Package balance chooses the endpoint that is expected to begin a request's
-// answer soonest: from what this instance has in flight there, what the
-// endpoint last told of its load, the parts of the prompt that it is
-// expected to have read already, and its data centre. It does no input or
-// output.
+// Package balance chooses the endpoint that is expected to start responding
+// to a request soonest. The choice depends on the requests that this instance
+// has in flight at each endpoint, the last load reported by the endpoint, the
+// prompt segments expected in its prefix cache, and its data centre. The
+// package does no input or output.
+//
+// A prompt is a sequence of segments. Its first segment is a prefix shared by
+// many prompts, such as a system prompt. Processing the tokens of a prompt
+// that are not cached is called prefill.
 package balance
--- a/balance/export_test.go
+++ b/balance/export_test.go
@@ -2,5 +2,6 @@
 
 import "math/rand/v2"
 
-// DrawFrom has the picker choose among equals by rng, so that a play repeats.
-func (picker *Picker) DrawFrom(rng *rand.Rand) { picker.draw = rng.IntN }
+// SetRand makes the picker choose among equal endpoints with rng, which makes
+// a simulation repeatable.
+func (picker *Picker) SetRand(rng *rand.Rand) { picker.randIntN = rng.IntN }
--- a/balance/picker.go
+++ b/balance/picker.go
@@ -9,132 +9,147 @@
 	"github.com/wagtaildrum/wagtaildrum/membership"
 )
 
-// Part is one part of a prompt; parts with the same ID after the same parts
-// are the same text.
+// Part is one segment of a prompt. Segments with the same ID that follow the
+// same segments have the same text.
 type Part struct {
 	ID     string
 	Tokens int64
 }
 
-// Request is what a choice depends on.
+// Request holds the properties of a request that the choice of an endpoint
+// depends on.
 type Request struct {
-	// DataCentre is where the request came in.
+	// DataCentre is the data centre that received the request.
 	DataCentre string
-	// Parts of the prompt, in order; none for a plain service.
+	// Parts holds the prompt segments in order; it is empty for a request
+	// without a prompt.
 	Parts []Part
-	// Capacity is an engine's memory in tokens; 0 for a plain service.
+	// Capacity is the size of an engine's key-value cache in tokens; 0 for a
+	// service that runs no language model.
 	Capacity int64
 }
 
-// Load is what an endpoint tells of itself.
+// Load is the load that an endpoint reports: its running and waiting requests
+// and its slots.
 type Load struct {
 	Running, Waiting, Slots int
 }
 
-// Weights of the expected cost of an endpoint.
+// Weights of the terms of an endpoint's expected cost, and time constants of
+// the statistics behind them.
 const (
-	// yieldFactor: what is read takes the room of as much that has to be
-	// read again. Without it conversations moved between full engines, and
-	// these read 5,100 tokens a turn where 1,500 were new.
-	yieldFactor = 2
-	// slotCost is what one more request in the batch of an engine costs
-	// each: a step takes 1.3 to 2.2 % longer per request, 4 to 6 ms over an
-	// answer of 300 ms.
+	// evictionFactor multiplies the prefill time, since each prefilled token
+	// evicts a cached token that has to be prefilled again later. Without the
+	// factor conversations moved between full engines, which prefilled 5,100
+	// tokens a turn of which 1,500 were new.
+	evictionFactor = 2
+	// slotCost is the delay caused by each request in an engine's batch. A
+	// decoding step takes 1.3 to 2.2 % longer per request, which is 4 to 6 ms
+	// over a response of 300 ms.
 	slotCost = 5 * time.Millisecond
-	// remoteCost is what another data centre costs: two ways of 0.9 ms, its
-	// priced bytes, and those of the turns that follow where the
-	// conversation is. It is worth eight requests in the batch. At 25 ms the
-	// bytes cost 0.005 of a quiet day and 0.010 of a burst, at 40 ms 0.004
-	// and 0.007, with as many programs in time.
+	// remoteCost is the cost of an endpoint in another data centre: a round
+	// trip of two times 0.9 ms, the price of the bytes transferred, and the
+	// same for later turns, which follow the conversation's cache. It equals
+	// the cost of eight requests in the batch. With 25 ms the bytes cost 0.005
+	// of a quiet day and 0.010 of a burst, with 40 ms 0.004 and 0.007, and as
+	// many programs met their deadlines.
 	remoteCost = 40 * time.Millisecond
-	// typicalService is a request's time at an endpoint before one was
-	// measured.
-	typicalService = 100 * time.Millisecond
-	// serviceWeight is the weight of a new time in the mean.
-	serviceWeight = 0.05
-	// loadLifetime is how long a told load counts. Others' requests last
-	// about that long.
-	loadLifetime = 400 * time.Millisecond
-	// toldWeight is the weight of a new told load in the means.
-	toldWeight = 0.05
-	// tellingAnswers without a word of load, and the endpoints of a service
-	// tell none.
-	tellingAnswers = 16
-	// failureCooldown is how long an endpoint that cannot be reached is
-	// left out, doubled with each failure in a row up to maxCooldown.
+	// initialServiceTime is the assumed duration of a request at an endpoint
+	// of a service before the first measurement.
+	initialServiceTime = 100 * time.Millisecond
+	// serviceTimeWeight is the weight of a new measurement in the exponentially
+	// weighted means of service times.
+	serviceTimeWeight = 0.05
+	// loadReportTTL is the time over which a reported load loses its weight. It
+	// is about the duration of the requests of other instances.
+	loadReportTTL = 400 * time.Millisecond
+	// loadReportWeight is the weight of a new load report in the exponentially
+	// weighted means of a service.
+	loadReportWeight = 0.05
+	// minResponsesWithoutLoad is the number of served requests without any load
+	// report after which the endpoints of a service count as reporting none.
+	minResponsesWithoutLoad = 16
+	// failureCooldown is how long an unreachable endpoint is avoided. It doubles
+	// with each consecutive failure up to maxCooldown.
 	failureCooldown = 250 * time.Millisecond
 	maxCooldown     = 4 * time.Second
 )
 
-// Picker knows the load of the endpoints. It is safe for concurrent use.
+// Picker chooses endpoints and keeps the load and health statistics that its
+// choices depend on. It is safe for concurrent use.
 type Picker struct {
 	clock clock.Clock
-	// draw returns a random number below n, for a choice among equals.
-	draw func(n int) int
+	// randIntN returns a random number in [0, n); it breaks ties.
+	randIntN func(n int) int
 
 	mu        sync.Mutex
 	endpoints map[string]*endpoint
-	services  map[string]*service
-	shared    *sharedParts
+	services  map[string]*serviceStats
+	prefixes  *sharedPrefixes
 }
 
-// service is what is usual at the endpoints of a service.
-type service struct {
-	// whole is the mean time of a request, head that to the head of its
-	// answer without the reading of the prompt; 0 before the first answer.
-	whole, head time.Duration
-	reading     reading
-	// busy is the mean share of an endpoint's slots that are taken, others that
-	// taken by other instances' requests, as endpoints told.
-	busy, others float64
-	// told is how many loads were told, served how many requests were served.
-	told, served int
+// serviceStats holds the mean values over the endpoints of a service.
+type serviceStats struct {
+	// serviceTime is the mean duration of a request. headerTime is the mean
+	// time to the response header without the prefill; 0 before the first
+	// response.
+	serviceTime, headerTime time.Duration
+	prefill                 prefill
+	// utilisation is the mean share of an endpoint's slots in use, otherLoad
+	// the mean share in use by requests of other instances, both as reported
+	// by endpoints.
+	utilisation, otherLoad float64
+	// loadReports counts the load reports, served the requests served.
+	loadReports, served int
 }
 
+// endpoint is the state of one incarnation of an endpoint.
 type endpoint struct {
-	inFlight int
-	told     Load
-	toldAt   time.Time
-	// others is what was told beyond what this instance had there.
-	others   int
-	parts    *partCache
-	failures int
-	avoid    time.Time
-	standing standing
+	inFlight     int
+	reportedLoad Load
+	reportedAt   time.Time
+	// otherLoad is the number of requests in the last report beyond those of
+	// this instance.
+	otherLoad  int
+	cache      *segmentCache
+	failures   int
+	avoidUntil time.Time
+	health     health
 }
 
-// NewPicker returns a picker that knows nothing yet.
+// NewPicker returns a picker without any statistics.
 func NewPicker(clk clock.Clock) *Picker {
-	return &Picker{clock: clk, draw: rand.IntN, endpoints: map[string]*endpoint{}, services: map[string]*service{}, shared: newSharedParts()}
+	return &Picker{clock: clk, randIntN: rand.IntN, endpoints: map[string]*endpoint{}, services: map[string]*serviceStats{}, prefixes: newSharedPrefixes()}
 }
 
-// Choice is a request given to an endpoint, until Done.
+// Choice is the assignment of a request to an endpoint. It lasts until Done.
 type Choice struct {
-	picker   *Picker
-	endpoint *membership.Endpoint
-	state    *endpoint
-	began    time.Time
-	answered bool
-	// prompt tells that the request has a prompt to read.
-	prompt bool
-	// Missing is how many tokens of the prompt the endpoint is expected to
-	// read anew.
+	picker    *Picker
+	endpoint  *membership.Endpoint
+	state     *endpoint
+	startedAt time.Time
+	responded bool
+	// hasPrompt reports whether the request has prompt segments.
+	hasPrompt bool
+	// Missing is the number of prompt tokens that the endpoint is expected to
+	// prefill.
 	Missing int64
-	// Cost is the expected cost that decided the choice.
+	// Cost is the expected cost of the chosen endpoint.
 	Cost time.Duration
 }
 
-// Endpoint returns the endpoint chosen.
+// Endpoint returns the chosen endpoint.
 func (choice *Choice) Endpoint() *membership.Endpoint { return choice.endpoint }
 
-// Pick chooses one of candidates for request, leaving out those that skip
-// names and, unless no others are left, those that failed just now. It
-// returns nil if there is none.
+// Pick chooses the candidate with the lowest expected cost for request. It
+// leaves out the candidates whose ID skip reports, and those that were
+// unreachable a moment ago unless there are no others. It returns nil if no
+// candidate remains.
 func (picker *Picker) Pick(candidates []*membership.Endpoint, request *Request, skip func(id string) bool) *Choice {
 	picker.mu.Lock()
 	defer picker.mu.Unlock()
 	now := picker.clock.Now()
-	keepers := picker.keepers(candidates, request)
+	replicas := picker.replicas(candidates, request)
 	var best Choice
 	bestAvoided := false
 	ties := 0
@@ -143,18 +158,18 @@
 			continue
 		}
 		state := picker.state(candidate.Incarnation())
-		avoided := now.Before(state.avoid)
-		cost, missing := picker.cost(candidate, state, request, keepers.has(i), now)
+		avoided := now.Before(state.avoidUntil)
+		cost, missing := picker.cost(candidate, state, request, replicas.has(i), now)
 		better := best.state == nil || bestAvoided && !avoided || bestAvoided == avoided && cost < best.Cost
 		switch {
 		case better:
 			ties = 1
 		case bestAvoided == avoided && cost == best.Cost:
 			ties++
-			better = picker.draw(ties) == 0
+			better = picker.randIntN(ties) == 0
 		}
 		if better {
-			best = Choice{picker: picker, endpoint: candidate, state: state, began: now, prompt: len(request.Parts) > 0, Missing: missing, Cost: cost}
+			best = Choice{picker: picker, endpoint: candidate, state: state, startedAt: now, hasPrompt: len(request.Parts) > 0, Missing: missing, Cost: cost}
 			bestAvoided = avoided
 		}
 	}
@@ -162,150 +177,154 @@
 		return nil
 	}
 	best.state.inFlight++
-	best.state.standing.sent(now)
-	best.state.parts.add(request.Parts, request.Capacity, now)
+	best.state.health.sent(now)
+	best.state.cache.add(request.Parts, request.Capacity, now)
 	return &best
 }
 
-// state returns what is known of one start of an endpoint.
+// state returns the state of one incarnation of an endpoint, creating it if
+// necessary.
 func (picker *Picker) state(incarnation string) *endpoint {
 	state, ok := picker.endpoints[incarnation]
 	if !ok {
-		state = &endpoint{parts: newPartCache()}
+		state = &endpoint{cache: newSegmentCache()}
 		picker.endpoints[incarnation] = state
 	}
 	return state
 }
 
-// keepers returns which candidates keep the part that the request shares
-// with others, and nil if it shares none.
-func (picker *Picker) keepers(candidates []*membership.Endpoint, request *Request) *keepers {
+// replicas returns the candidates that hold a replica of the request's shared
+// prefix, nil if the request has no prompt or there are no candidates.
+func (picker *Picker) replicas(candidates []*membership.Endpoint, request *Request) *replicas {
 	if len(request.Parts) == 0 || len(candidates) == 0 {
 		return nil
 	}
-	s := picker.shared.note(request.Parts[0], candidates)
-	return &keepers{part: s, kept: picker.shared.kept(s, request.Capacity, picker.service(candidates[0].Service).taken())}
+	entry := picker.prefixes.recordPrompt(request.Parts[0], candidates)
+	return &replicas{prefix: entry, replicaCounts: picker.prefixes.replicaCounts(entry, request.Capacity, picker.serviceStats(candidates[0].Service).meanUtilisation())}
 }
 
-// cost returns how long candidate is expected to delay the request's answer.
-func (picker *Picker) cost(candidate *membership.Endpoint, state *endpoint, request *Request, keeps bool, now time.Time) (time.Duration, int64) {
+// cost returns how long candidate is expected to delay the response, and how
+// many tokens of the prompt it is expected to prefill.
+func (picker *Picker) cost(candidate *membership.Endpoint, state *endpoint, request *Request, prefixCached bool, now time.Time) (time.Duration, int64) {
 	slots := max(candidate.Slots, 1)
-	usual := picker.service(candidate.Service)
-	load := state.load(usual.others*float64(slots), now)
+	stats := picker.serviceStats(candidate.Service)
+	load := state.load(stats.otherLoad*float64(slots), now)
 	cost := time.Duration(load * float64(slotCost))
 	if queued := load - float64(slots) + 1; queued > 0 {
-		cost += time.Duration(float64(usual.whole) * queued / float64(slots))
+		cost += time.Duration(float64(stats.serviceTime) * queued / float64(slots))
 	}
-	cost += state.standing.cost(usual.head, now)
-	missing := state.parts.missing(request.Parts, keeps, now)
-	// While an engine reads a prompt all that it has wait, too, and what it
-	// reads pushes out what others need.
-	cost += time.Duration(float64(usual.reading.time(missing)) * yieldFactor * (1 + load))
+	cost += state.health.cost(stats.headerTime, now)
+	missing := state.cache.missing(request.Parts, prefixCached, now)
+	// Prefill delays all running requests of an engine and evicts cached
+	// tokens that other requests need.
+	cost += time.Duration(float64(stats.prefill.time(missing)) * evictionFactor * (1 + load))
 	if candidate.DataCentre != request.DataCentre {
 		cost += remoteCost
 	}
 	return cost, missing
 }
 
-// load returns how many requests the endpoint is expected to hold, given how
-// many others have at an endpoint in the mean: what it told counts less and
-// less.
-func (state *endpoint) load(usual float64, now time.Time) float64 {
-	left := max(1-float64(now.Sub(state.toldAt))/float64(loadLifetime), 0)
-	return float64(state.inFlight) + usual + (float64(state.others)-usual)*left
+// load returns the number of requests that the endpoint is expected to hold.
+// The reported load of other instances loses its weight over loadReportTTL in
+// favour of meanOtherLoad, their mean number of requests at an endpoint.
+func (state *endpoint) load(meanOtherLoad float64, now time.Time) float64 {
+	freshness := max(1-float64(now.Sub(state.reportedAt))/float64(loadReportTTL), 0)
+	return float64(state.inFlight) + meanOtherLoad + (float64(state.otherLoad)-meanOtherLoad)*freshness
 }
 
-// taken returns the mean share of an endpoint's slots that is taken. Where
-// none tells its load they may have all that they can do.
-func (service *service) taken() float64 {
-	if service.told == 0 && service.served >= tellingAnswers {
+// meanUtilisation returns the mean share of an endpoint's slots in use. It
+// returns 1 for a service whose endpoints report no load, since they may be
+// fully loaded.
+func (serviceStats *serviceStats) meanUtilisation() float64 {
+	if serviceStats.loadReports == 0 && serviceStats.served >= minResponsesWithoutLoad {
 		return 1
 	}
-	return service.busy
+	return serviceStats.utilisation
 }
 
-// learn takes in what an endpoint told of its load, as shares of its slots.
-func (service *service) learn(busy, others float64) {
-	service.told++
-	service.busy += max(1/float64(service.told), toldWeight) * (busy - service.busy)
-	service.others += toldWeight * (others - service.others)
+// observeLoad records a load report of an endpoint, as shares of its slots.
+func (serviceStats *serviceStats) observeLoad(utilisation, otherLoad float64) {
+	serviceStats.loadReports++
+	serviceStats.utilisation += max(1/float64(serviceStats.loadReports), loadReportWeight) * (utilisation - serviceStats.utilisation)
+	serviceStats.otherLoad += loadReportWeight * (otherLoad - serviceStats.otherLoad)
 }
 
-func (picker *Picker) service(name string) *service {
-	usual, ok := picker.services[name]
+// serviceStats returns the statistics of a service, creating them if necessary.
+func (picker *Picker) serviceStats(name string) *serviceStats {
+	stats, ok := picker.services[name]
 	if !ok {
-		usual = &service{whole: typicalService}
-		picker.services[name] = usual
+		stats = &serviceStats{serviceTime: initialServiceTime}
+		picker.services[name] = stats
 	}
-	return usual
+	return stats
 }
 
-// Answered takes in that the head of the endpoint's answer came.
+// Answered records that the header of the endpoint's response arrived.
 func (choice *Choice) Answered() {
 	picker := choice.picker
 	picker.mu.Lock()
 	defer picker.mu.Unlock()
 	now := picker.clock.Now()
-	choice.answered = true
-	choice.state.standing.settled(now, true)
-	usual := picker.service(choice.endpoint.Service)
-	took, expected := now.Sub(choice.began), usual.reading.time(choice.Missing)
-	head := max(took-expected, 0)
-	choice.state.standing.took(head, now)
-	if usual.head == 0 {
-		usual.head = head
+	choice.responded = true
+	choice.state.health.resolved(now, true)
+	stats := picker.serviceStats(choice.endpoint.Service)
+	took, expected := now.Sub(choice.startedAt), stats.prefill.time(choice.Missing)
+	headerTime := max(took-expected, 0)
+	choice.state.health.took(headerTime, now)
+	if stats.headerTime == 0 {
+		stats.headerTime = headerTime
 	}
-	if choice.prompt {
-		usual.reading.learn(choice.Missing, min(took, outlierFactor*(usual.head+expected)))
+	if choice.hasPrompt {
+		stats.prefill.observe(choice.Missing, min(took, outlierFactor*(stats.headerTime+expected)))
 	}
-	usual.head += time.Duration(serviceWeight * float64(head-usual.head))
+	stats.headerTime += time.Duration(serviceTimeWeight * float64(headerTime-stats.headerTime))
 }
 
-// Learn takes in that one start of an endpoint keeps a part of prompts, as
-// another instance left it there.
-func (picker *Picker) Learn(incarnation string, part Part) {
+// Learn records that one incarnation of an endpoint has a prompt segment cached
+// because of a request of another instance.
+func (picker *Picker) Learn(incarnation string, segment Part) {
 	picker.mu.Lock()
 	defer picker.mu.Unlock()
-	picker.state(incarnation).parts.learn(part, picker.clock.Now())
+	picker.state(incarnation).cache.record(segment, picker.clock.Now())
 }
 
-// Told takes in what the endpoint said of its load while it has the
-// request.
+// Told records the load that the endpoint reported while it had the request.
 func (choice *Choice) Told(load Load) {
 	picker := choice.picker
 	picker.mu.Lock()
 	defer picker.mu.Unlock()
 	state := choice.state
-	state.told, state.toldAt = load, picker.clock.Now()
-	state.others = max(load.Running+load.Waiting-state.inFlight, 0)
+	state.reportedLoad, state.reportedAt = load, picker.clock.Now()
+	state.otherLoad = max(load.Running+load.Waiting-state.inFlight, 0)
 	if load.Slots > 0 {
-		busy, others := float64(load.Running+load.Waiting)/float64(load.Slots), float64(state.others)/float64(load.Slots)
-		picker.service(choice.endpoint.Service).learn(busy, others)
+		utilisation, otherLoad := float64(load.Running+load.Waiting)/float64(load.Slots), float64(state.otherLoad)/float64(load.Slots)
+		picker.serviceStats(choice.endpoint.Service).observeLoad(utilisation, otherLoad)
 	}
 }
 
-// Outcome says how a request at an endpoint ended.
+// Outcome is the result of a request at an endpoint.
 type Outcome int
 
 //go:generate stringer -type=Outcome -trimprefix=Outcome
 
-// Outcomes.
+// Outcomes of a request.
 const (
-	// OutcomeServed: the endpoint worked on it to the end.
+	// OutcomeServed means that the endpoint completed the request.
 	OutcomeServed Outcome = iota
-	// OutcomeRefused: the endpoint did not run it.
+	// OutcomeRefused means that the endpoint did not run the request.
 	OutcomeRefused
-	// OutcomeUnreachable: no connection, or the endpoint is another one now.
+	// OutcomeUnreachable means that no connection was established, or that the
+	// address now belongs to another endpoint.
 	OutcomeUnreachable
-	// OutcomeBroken: the connection failed on the way.
+	// OutcomeBroken means that the connection failed during the exchange.
 	OutcomeBroken
-	// OutcomeAbandoned: given up by the caller or its deadline.
+	// OutcomeAbandoned means that the caller left or its deadline passed.
 	OutcomeAbandoned
-	// OutcomeFailed: the endpoint answered with a failure of its own.
+	// OutcomeFailed means that the endpoint responded with an error.
 	OutcomeFailed
 )
 
-// Done ends the choice.
+// Done ends the choice and records its outcome.
 func (choice *Choice) Done(outcome Outcome) {
 	picker := choice.picker
 	picker.mu.Lock()
@@ -313,33 +332,33 @@
 	now := picker.clock.Now()
 	state := choice.state
 	state.inFlight--
-	if !choice.answered {
-		state.standing.settled(now, outcome == OutcomeRefused)
+	if !choice.responded {
+		state.health.resolved(now, outcome == OutcomeRefused)
 	}
-	usual := picker.service(choice.endpoint.Service)
-	took := now.Sub(choice.began)
+	stats := picker.serviceStats(choice.endpoint.Service)
+	took := now.Sub(choice.startedAt)
 	switch outcome {
 	case OutcomeServed:
 		state.failures = 0
-		state.standing.ended(false, now)
-		usual.served++
-		usual.whole += time.Duration(serviceWeight * float64(took-usual.whole))
+		state.health.recordOutcome(false, now)
+		stats.served++
+		stats.serviceTime += time.Duration(serviceTimeWeight * float64(took-stats.serviceTime))
 	case OutcomeBroken, OutcomeFailed:
-		state.standing.ended(true, now)
+		state.health.recordOutcome(true, now)
 	case OutcomeAbandoned:
-		// Callers leave for reasons of their own, but they leave an endpoint
-		// that hangs, too.
-		if !choice.answered && took > allowance(usual.head) {
-			state.standing.ended(true, now)
+		// Callers leave for various reasons, and one of them is an endpoint
+		// that hangs.
+		if !choice.responded && took > silenceTimeout(stats.headerTime) {
+			state.health.recordOutcome(true, now)
 		}
 	case OutcomeUnreachable:
 		state.failures++
-		state.avoid = now.Add(min(failureCooldown<<min(state.failures-1, 10), maxCooldown))
+		state.avoidUntil = now.Add(min(failureCooldown<<min(state.failures-1, 10), maxCooldown))
 	}
 }
 
-// Forget drops the starts of endpoints that keep does not name and that have
-// nothing in flight.
+// Forget drops the state of the incarnations that have no request in flight
+// and for which keep returns false.
 func (picker *Picker) Forget(keep func(incarnation string) bool) {
 	picker.mu.Lock()
 	defer picker.mu.Unlock()
@@ -350,7 +369,7 @@
 	}
 }
 
-// View is one endpoint in a state dump.
+// View is the state of one endpoint incarnation in a state dump.
 type View struct {
 	ID       string `json:"id"`
 	InFlight int    `json:"in_flight"`
@@ -358,13 +377,13 @@
 	Parts    int    `json:"parts"`
 }
 
-// Views returns the endpoints known.
+// Views returns the state of all endpoint incarnations, in no particular order.
 func (picker *Picker) Views() []View {
 	picker.mu.Lock()
 	defer picker.mu.Unlock()
 	views := make([]View, 0, len(picker.endpoints))
 	for id, state := range picker.endpoints {
-		views = append(views, View{ID: id, InFlight: state.inFlight, Told: state.told, Parts: state.parts.len()})
+		views = append(views, View{ID: id, InFlight: state.inFlight, Told: state.reportedLoad, Parts: state.cache.len()})
 	}
 	return views
 }
--- a/balance/picker_test.go
+++ b/balance/picker_test.go
@@ -25,22 +25,22 @@
 	return endpoints
 }
 
-func all(string) bool { return false }
+func skipNone(string) bool { return false }
 
 func prompt(session string) []balance.Part {
 	return []balance.Part{{ID: "shared", Tokens: 12600}, {ID: session, Tokens: 1680}}
 }
 
-// A burst of long generations that come in one data centre: twice what its
-// four engines hold (12 requests each, of about 300 ms) within a moment. The
-// data centre's engines fill first, evenly, then the others take their
-// share; a request is not queued at one while another has room.
-func TestBurstFillsOwnDataCentreThenOthers(t *testing.T) {
+// A burst of long generations arrives in one data centre: 96 at once, twice the
+// 48 slots of its four engines. The engines of that data centre fill evenly
+// first, then those of the others. No request is queued while another engine has
+// a free slot.
+func TestBurstFillsLocalDataCentreBeforeOthers(t *testing.T) {
 	picker := balance.NewPicker(clock.NewFake(start))
 	endpoints := fleet(4, "a", "b", "c")
 	counts := map[string]int{}
 	for i := range 96 {
-		choice := picker.Pick(endpoints, &balance.Request{DataCentre: "a", Parts: prompt(fmt.Sprint("s", i)), Capacity: 413343}, all)
+		choice := picker.Pick(endpoints, &balance.Request{DataCentre: "a", Parts: prompt(fmt.Sprint("s", i)), Capacity: 413343}, skipNone)
 		require.NotNil(t, choice)
 		counts[choice.Endpoint().ID]++
 	}
@@ -53,13 +53,14 @@
 	assert.Len(t, counts, 12)
 }
 
-// A conversation's next turn goes where it is kept unless that engine has
-// more to do. At 400 tokens a ms the 1,680 tokens of a short one take 4.2 ms
-// to read anew; that counts double, since they push out as much, and at 5 ms
-// a request in the batch it is worth one more request there. The 6,400 tokens
-// of a long one, 16 ms, are worth six. Engines that are busy make both worth
-// more: all that they have waits while they read.
-func TestTurnFollowsItsConversationUnlessItWaits(t *testing.T) {
+// A conversation's next turn goes to the engine that has it cached unless that
+// engine has more load. At 400 tokens a millisecond the 1,680 tokens of a short
+// conversation take 4.2 ms to prefill. This counts double, since the prefill
+// evicts as many tokens, and at 5 ms for each request in the batch it equals one
+// more request at that engine. The 6,400 tokens of a long conversation, 16 ms,
+// equal six. At busy engines both equal more requests, since prefill delays all
+// running requests.
+func TestTurnPrefersEngineWithCachedConversation(t *testing.T) {
 	for _, test := range []struct {
 		tokens     int64
 		busy, more int
@@ -67,8 +68,8 @@
 		picker := balance.NewPicker(clock.NewFake(start))
 		endpoints := fleet(2, "a")
 		request := &balance.Request{DataCentre: "a", Parts: []balance.Part{{ID: "shared", Tokens: 12600}, {ID: "s", Tokens: test.tokens}}, Capacity: 413343}
-		first := picker.Pick(endpoints, request, all)
-		home := first.Endpoint().ID
+		first := picker.Pick(endpoints, request, skipNone)
+		cachedAt := first.Endpoint().ID
 		first.Done(balance.OutcomeServed)
 		for range test.busy {
 			for _, endpoint := range endpoints {
@@ -76,85 +77,84 @@
 			}
 		}
 		stayed := 0
-		for picker.Pick(endpoints, request, all).Endpoint().ID == home {
+		for picker.Pick(endpoints, request, skipNone).Endpoint().ID == cachedAt {
 			stayed++
 		}
 		assert.Equal(t, test.more+1, stayed, "%d tokens, %d busy", test.tokens, test.busy)
 	}
 }
 
-// A conversation that another instance left at an engine is found there, once
-// that is known, though another engine of the data centre is as idle.
-func TestTurnFollowsConversationOfAnotherInstance(t *testing.T) {
+// A turn goes to the engine at which another instance left its conversation
+// cached, once that is recorded, though other engines are as idle.
+func TestTurnPrefersEngineLearntFromAnotherInstance(t *testing.T) {
 	for range 20 {
 		picker := balance.NewPicker(clock.NewFake(start))
 		request := &balance.Request{DataCentre: "a", Parts: prompt("s"), Capacity: 413343}
 		picker.Learn("a-3", balance.Part{ID: "s", Tokens: 1680})
-		assert.Equal(t, "a-3", picker.Pick(fleet(4, "a"), request, all).Endpoint().ID)
+		assert.Equal(t, "a-3", picker.Pick(fleet(4, "a"), request, skipNone).Endpoint().ID)
 	}
 }
 
-// Symptom: engines read shared parts of prompts again that they had read
-// seconds before: a third of all that they read, and with it a third of what
-// they could do. Events: 37 instances send prompts that begin with one of
-// sixteen shared parts of 12,600 tokens to eleven engines with room for
-// 239,772 tokens each; every engine gets all sixteen, and cannot keep them.
-// Cause: each instance chose by the little that it had sent itself. Now all
-// keep to the same six or seven parts an engine.
-func TestInstancesAgreeWhereSharedPartsAreKept(t *testing.T) {
+// Guards against repeated prefill of shared prefixes, which was a third of all
+// prefill and cost engines a third of their capacity. 37 instances send prompts
+// that start with one of sixteen shared prefixes of 12,600 tokens to eleven
+// engines with room for 239,772 tokens each. Each instance chose by its own
+// requests alone, so that every engine received all sixteen prefixes and could
+// not hold them. All instances now agree on the same six or seven prefixes for
+// each engine.
+func TestInstancesAgreeOnSharedPrefixReplicas(t *testing.T) {
 	const instances, parts, prompts = 37, 16, 64
 	endpoints := fleet(11, "a")
-	kept := map[string]map[string]bool{}
+	prefixesByEngine := map[string]map[string]bool{}
 	for instance := range instances {
 		clk := clock.NewFake(start)
 		picker := balance.NewPicker(clk)
 		for n := range prompts {
 			if n == prompts/2 {
-				clk.Advance(5 * time.Second) // what it sent before is gone
+				clk.Advance(5 * time.Second) // the recorded segments expire
 			}
-			part := fmt.Sprint("shared", n%parts)
-			request := &balance.Request{DataCentre: "a", Capacity: 239772, Parts: []balance.Part{{ID: part, Tokens: 12600}, {ID: fmt.Sprint(instance, n), Tokens: 1680}}}
-			choice := picker.Pick(endpoints, request, all)
+			prefix := fmt.Sprint("shared", n%parts)
+			request := &balance.Request{DataCentre: "a", Capacity: 239772, Parts: []balance.Part{{ID: prefix, Tokens: 12600}, {ID: fmt.Sprint(instance, n), Tokens: 1680}}}
+			choice := picker.Pick(endpoints, request, skipNone)
 			choice.Done(balance.OutcomeServed)
 			if n < prompts/2 {
-				continue // the instance does not know yet how many parts there are
+				continue // the instance has not yet counted all prefixes
 			}
-			if kept[choice.Endpoint().ID] == nil {
-				kept[choice.Endpoint().ID] = map[string]bool{}
+			if prefixesByEngine[choice.Endpoint().ID] == nil {
+				prefixesByEngine[choice.Endpoint().ID] = map[string]bool{}
 			}
-			kept[choice.Endpoint().ID][part] = true
+			prefixesByEngine[choice.Endpoint().ID][prefix] = true
 		}
 	}
 	sum := 0
-	for _, of := range kept {
-		sum += len(of)
+	for _, prefixes := range prefixesByEngine {
+		sum += len(prefixes)
 	}
-	assert.LessOrEqual(t, sum, 90, "of 176")
-	assert.Len(t, kept, 11, "all engines have work")
+	assert.LessOrEqual(t, sum, 90, "of 176 possible replicas")
+	assert.Len(t, prefixesByEngine, 11, "all engines receive requests")
 }
 
-// Symptom: a third of requests fail for seconds after an engine lost power.
-// Events: connections to it hang or are refused; as nothing is in flight
-// there it looks idle, and takes every next request. Cause: a failure made
-// an endpoint look free.
-func TestUnreachableEndpointIsLeftOut(t *testing.T) {
+// Guards against a third of requests failing for seconds after an engine lost
+// power. Connections to it hang or are refused. Having no requests in flight, it
+// looked idle and was chosen for every next request.
+func TestUnreachableEndpointIsAvoided(t *testing.T) {
 	clk := clock.NewFake(start)
 	picker := balance.NewPicker(clk)
 	endpoints := fleet(2, "a")
 	request := &balance.Request{DataCentre: "a"}
-	skipOther := func(id string) bool { return id != "a-0" }
-	picker.Pick(endpoints, request, skipOther).Done(balance.OutcomeUnreachable)
+	skipSecond := func(id string) bool { return id != "a-0" }
+	picker.Pick(endpoints, request, skipSecond).Done(balance.OutcomeUnreachable)
 	for range 30 {
-		assert.Equal(t, "a-1", picker.Pick(endpoints, request, all).Endpoint().ID)
+		assert.Equal(t, "a-1", picker.Pick(endpoints, request, skipNone).Endpoint().ID)
 	}
-	assert.Equal(t, "a-0", picker.Pick(endpoints, request, skipOther).Endpoint().ID, "the last resort")
+	assert.Equal(t, "a-0", picker.Pick(endpoints, request, skipSecond).Endpoint().ID, "used if no other endpoint remains")
 	clk.Advance(time.Second)
-	assert.Equal(t, "a-0", picker.Pick(endpoints, request, all).Endpoint().ID, "tried again")
+	assert.Equal(t, "a-0", picker.Pick(endpoints, request, skipNone).Endpoint().ID, "used again after the cooldown")
 }
 
-// What an endpoint tells of its load counts others' requests, for about as
-// long as those last.
-func TestToldLoadCountsForAWhile(t *testing.T) {
+// A reported load counts requests of other instances for about the duration of
+// such requests.
+func TestReportedLoadExpires(t *testing.T) {
 	clk := clock.NewFake(start)
 	picker := balance.NewPicker(clk)
 	endpoints := fleet(2, "a")
@@ -163,39 +163,38 @@
 	choice.Told(balance.Load{Running: 12, Waiting: 6, Slots: 12})
 	choice.Done(balance.OutcomeServed)
 	for range 5 {
-		assert.Equal(t, "a-1", picker.Pick(endpoints, request, all).Endpoint().ID)
+		assert.Equal(t, "a-1", picker.Pick(endpoints, request, skipNone).Endpoint().ID)
 	}
 	clk.Advance(time.Second)
-	assert.Equal(t, "a-0", picker.Pick(endpoints, request, all).Endpoint().ID)
+	assert.Equal(t, "a-0", picker.Pick(endpoints, request, skipNone).Endpoint().ID)
 }
 
-// Symptom: an endpoint that started again gets no work, or conversations that
-// it does not hold any more. Events: it is full and fails, crashes with what
-// it had in flight, and starts under the ID that it had; then what was in
-// flight ends. Cause: what was known of the earlier start was believed of the
-// new one.
-func TestEndpointThatStartsAgainIsNew(t *testing.T) {
+// Guards against state of an earlier incarnation being applied to a restarted
+// endpoint, which then received no work, or conversations that it no longer had
+// cached. The endpoint is full, fails, crashes with its requests in flight and
+// restarts with the same ID; then the requests that were in flight end.
+func TestRestartedEndpointHasNewState(t *testing.T) {
 	picker := balance.NewPicker(clock.NewFake(start))
 	endpoints := fleet(2, "a")
 	request := &balance.Request{DataCentre: "a", Parts: prompt("s"), Capacity: 413343}
-	notOther := func(id string) bool { return id != "a-0" }
-	var flying []*balance.Choice
+	skipSecond := func(id string) bool { return id != "a-0" }
+	var inFlight []*balance.Choice
 	for range 40 {
-		flying = append(flying, picker.Pick(endpoints, request, notOther))
+		inFlight = append(inFlight, picker.Pick(endpoints, request, skipSecond))
 	}
-	warm := flying[39].Missing
-	again := *endpoints[0]
-	again.Born = 1764720000000
-	endpoints = []*membership.Endpoint{&again, endpoints[1]}
-	first := picker.Pick(endpoints, request, notOther)
-	assert.Greater(t, first.Missing, warm, "nothing of the conversation is there")
-	assert.Less(t, first.Cost, flying[1].Cost+time.Second)
-	for _, choice := range flying {
+	warm := inFlight[39].Missing
+	restarted := *endpoints[0]
+	restarted.Born = 1764720000000
+	endpoints = []*membership.Endpoint{&restarted, endpoints[1]}
+	first := picker.Pick(endpoints, request, skipSecond)
+	assert.Greater(t, first.Missing, warm, "the conversation is not cached")
+	assert.Less(t, first.Cost, inFlight[1].Cost+time.Second)
+	for _, choice := range inFlight {
 		choice.Done(balance.OutcomeBroken)
 	}
 	first.Answered()
 	first.Done(balance.OutcomeServed)
-	assert.Equal(t, "a-0", picker.Pick(endpoints, request, all).Endpoint().ID, "its earlier start's failures are not its own")
+	assert.Equal(t, "a-0", picker.Pick(endpoints, request, skipNone).Endpoint().ID, "failures of the earlier incarnation do not count")
 	picker.Forget(func(incarnation string) bool { return incarnation != "a-0" })
 	for _, view := range picker.Views() {
 		assert.NotEqual(t, "a-0", view.ID)
@@ -204,11 +203,11 @@
 
 func TestNoCandidate(t *testing.T) {
 	picker := balance.NewPicker(clock.NewFake(start))
-	assert.Nil(t, picker.Pick(nil, &balance.Request{}, all))
+	assert.Nil(t, picker.Pick(nil, &balance.Request{}, skipNone))
 	assert.Nil(t, picker.Pick(fleet(2, "a"), &balance.Request{}, func(string) bool { return true }))
-	picker.Pick(fleet(1, "a"), &balance.Request{}, all)
+	picker.Pick(fleet(1, "a"), &balance.Request{}, skipNone)
 	picker.Forget(func(string) bool { return false })
-	assert.Len(t, picker.Views(), 1, "one with a request in flight stays")
+	assert.Len(t, picker.Views(), 1, "an endpoint with a request in flight is kept")
 }
 
 func BenchmarkPick(b *testing.B) {
@@ -219,7 +218,7 @@
 			request := &balance.Request{DataCentre: "a", Parts: prompt("s"), Capacity: 413343}
 			b.ReportAllocs()
 			for b.Loop() {
-				picker.Pick(list, request, all).Done(balance.OutcomeServed)
+				picker.Pick(list, request, skipNone).Done(balance.OutcomeServed)
 			}
 		})
 	}
