--- a/admission/gate_bench_test.go
+++ b/admission/gate_bench_test.go
@@ -9,8 +9,8 @@
 	"github.com/wagtaildrum/wagtaildrum/clock"
 )
 
-// BenchmarkGate measures one admission (acquire and release) with a given
-// number of callers contending for 16 slots.
+// BenchmarkGate measures one admission (acquire and release) with a given number
+// of callers contending for 16 slots.
 func BenchmarkGate(b *testing.B) {
 	for _, callers := range []int{1, 64, 1024} {
 		b.Run(fmt.Sprintf("callers=%d", callers), func(b *testing.B) {
--- a/admission/order.go
+++ b/admission/order.go
@@ -5,52 +5,53 @@
 	"time"
 )
 
-// Ticket is a call asking to be admitted.
+// Ticket describes a call that waits to be admitted.
 type Ticket struct {
-	// Urgency is the program's class; a higher one always goes first.
+	// Urgency is the program's class; a higher class precedes all lower ones.
 	Urgency int
 	// Arrived is when the call reached the gate; Acquire sets it.
 	Arrived time.Time
-	// Started is when the program began, and Attained the tokens that
-	// engines have spent on it so far.
+	// Started is when the program started. Attained is the number of tokens
+	// that engines have processed for it.
 	Started  time.Time
 	Attained int64
 	// Finish is when the program should be finished; zero if unknown.
 	Finish time.Time
-	// New tells that no call of the program was served yet.
+	// New reports whether no call of the program has been served yet.
 	New bool
-	// Deadline is when nobody waits for the call any more; zero: never.
+	// Deadline is when the caller stops waiting; zero means never.
 	Deadline time.Time
 }
 
-// Late reports whether the program should have been finished before.
+// Late reports whether the program should have finished by the call's arrival.
 func (t *Ticket) Late() bool { return !t.Finish.IsZero() && !t.Arrived.Before(t.Finish) }
 
-// Order gives a ticket its place within its urgency class: the lowest key
-// goes first. A key is fixed when the ticket arrives and lies a bounded
-// time from its arrival, so calls that arrive later than that bound cannot
-// pass it: no call starves.
+// Order determines the position of a ticket within its urgency class: the ticket
+// with the lowest key is first. A key is fixed at the ticket's arrival and
+// differs from its arrival time by a bounded amount. Calls that arrive later than
+// this bound cannot precede the ticket, so no call starves.
 type Order interface {
 	Key(t *Ticket) time.Duration
 }
 
-// Names of the orders, as settings give them.
+// Names of the orders in settings.
 const (
 	NameArrival       = "arrival"
 	NameLeastAttained = "least_attained"
 	NameOldestProgram = "oldest_program"
 )
 
-// OrderNames lists the names NewOrder knows.
+// OrderNames lists the names accepted by NewOrder.
 var OrderNames = []string{NameArrival, NameLeastAttained, NameOldestProgram}
 
-// OrderError says an order's name is not known.
+// OrderError is returned by NewOrder for an unknown name.
 type OrderError struct{ name string }
 
-// Error quotes the name.
-func (e *OrderError) Error() string { return fmt.Sprintf("no admission order %q", e.name) }
+// Error returns a message that quotes the name.
+func (e *OrderError) Error() string { return fmt.Sprintf("unknown admission order %q", e.name) }
 
-// NewOrder returns the order of a name.
+// NewOrder returns the order with the given name, or an *OrderError if the name
+// is unknown.
 func NewOrder(name string) (Order, error) {
 	switch name {
 	case NameArrival:
@@ -63,46 +64,46 @@
 	return nil, &OrderError{name: name}
 }
 
-// Bounds of the orders that prefer one program over another.
+// Default bounds of the orders that prefer some programs.
 const (
-	// DefaultPerToken is how long a call is held back for each token its
-	// program has had.
+	// DefaultPerToken is the delay of a call for each token its program has
+	// used.
 	DefaultPerToken = 100 * time.Microsecond
-	// DefaultMost is how far a call may be moved from its arrival. It is
-	// the longest that calls arriving later can keep one waiting.
+	// DefaultMost is the maximum shift of a call's key from its arrival time.
+	// It is also the longest that calls arriving later can precede a call.
 	DefaultMost = 5 * time.Second
 )
 
-// epoch is where keys count from.
+// epoch is the time that keys are relative to.
 var epoch = time.Unix(0, 0)
 
-// Arrival is first come, first served. It is the baseline.
+// Arrival admits calls in order of arrival. It is the baseline.
 type Arrival struct{}
 
-// Key implements Order.
+// Key returns the ticket's arrival time.
 func (Arrival) Key(t *Ticket) time.Duration { return t.Arrived.Sub(epoch) }
 
-// LeastAttained prefers programs that have had little service: without
-// knowing what a program still needs, those that have had least are the
-// likeliest to be short. A call is held back by PerToken for each token its
-// program has had, at most by Most.
+// LeastAttained prefers programs that have used few tokens. The remaining demand
+// of a program is unknown, and a program that has used few tokens is the most
+// likely to be short. A call is delayed by PerToken for each token its program
+// has used, at most by Most.
 type LeastAttained struct {
 	PerToken, Most time.Duration
 }
 
-// Key implements Order.
+// Key returns the ticket's arrival time plus the delay for the tokens used.
 func (l LeastAttained) Key(t *Ticket) time.Duration {
 	return t.Arrived.Sub(epoch) + min(time.Duration(t.Attained)*l.PerToken, l.Most)
 }
 
-// OldestProgram prefers the program that began first, as if its call had
-// come as early, at most Most before it did: programs near their end, and
-// those already late, are not overtaken by new ones.
+// OldestProgram prefers programs that started early. A call counts as having
+// arrived when its program started, at most Most before its actual arrival, so
+// that new programs do not overtake those near their end or already late.
 type OldestProgram struct {
 	Most time.Duration
 }
 
-// Key implements Order.
+// Key returns the ticket's arrival time minus the age of its program.
 func (o OldestProgram) Key(t *Ticket) time.Duration {
 	age := t.Arrived.Sub(t.Started)
 	if t.Started.IsZero() {
@@ -111,7 +112,7 @@
 	return t.Arrived.Sub(epoch) - min(max(age, 0), o.Most)
 }
 
-// Ranks of programs within a class, the highest first.
+// Ranks of programs within a class, the lowest first.
 const (
 	rankLate = iota
 	rankNew
@@ -119,18 +120,19 @@
 	ranks
 )
 
-// InTime ends as many programs in time as it can when not all of them can
-// be: those that have begun first, then new ones, the newest first, and last
-// those that are late already. In order of arrival all would be late under a
-// load that is a little too high: a new program's first turn takes its place
-// from one that is about to end, and by the time that it begins itself it is
-// late, too. A program that has begun is served before new ones, so that it
-// ends in time; which new ones begin does not matter, and the newest has
-// the most time left. Calls must have a deadline: old ones wait until it.
+// InTime maximises the number of programs that finish on time when not all can:
+// started programs go first, then new ones, the newest first, and late ones last.
+// In order of arrival all programs would be late under a slight overload: the
+// first turn of a new program takes the slot of a program that is about to
+// finish, and the new program is late itself when its turn is served. Started
+// programs precede new ones so that they finish on time. Which of the new
+// programs start does not matter, and the newest has the most time remaining.
+// Keys are not bounded as Order describes, so calls must have a deadline: old
+// ones may wait until it.
 type InTime struct{}
 
-// Class returns the class of a ticket of an urgency: a late program of an
-// urgent class goes after one of a less urgent class that is in time.
+// Class returns the class of a ticket with the given urgency. A late program of
+// an urgent class goes after a program of a less urgent class that is on time.
 func (InTime) Class(urgency int, t *Ticket) int {
 	const urgencies = 1 << 16
 	switch {
@@ -142,7 +144,9 @@
 	return urgency*ranks + rankStarted
 }
 
-// Key implements Order.
+// Key returns the ticket's finish time if its program has started and is on time,
+// and its arrival time if it is late or has no finish time. For a new program it
+// is the negated arrival time, so that the newest is first.
 func (InTime) Key(t *Ticket) time.Duration {
 	switch {
 	case t.New && !t.Late():
--- a/admission/window_test.go
+++ b/admission/window_test.go
@@ -12,19 +12,19 @@
 
 var morning = time.Date(2026, 3, 1, 9, 0, 0, 0, time.UTC)
 
-// turnTime and callTime are what a model turn and a plain call take at
-// their endpoints.
+// turnTime and callTime are the durations of a model turn and of a call without
+// a prompt at their endpoints.
 const (
 	turnTime = 450 * time.Millisecond
 	callTime = 20 * time.Millisecond
 )
 
-// A burst of three times what the endpoints can do: 37 instances share 344
-// slots. Each answer tells of a queue, one comes every 20 ms to this
-// instance. Within two seconds the instance has no more under way than its
-// share of the slots; when the queues are gone and its own requests wait,
-// it is back at ten times that with 100 answers.
-func TestWindowFollowsQueuesOfEndpoints(t *testing.T) {
+// A burst of three times the endpoints' capacity: 37 instances share 344 slots.
+// Each response reports a queue, and this instance receives one every 20 ms.
+// Within two seconds it has no more requests in flight than its share of the
+// slots. Once the queues are empty and its own requests wait, the window grows
+// tenfold within 100 responses.
+func TestWindowFollowsEndpointQueues(t *testing.T) {
 	clk := clock.NewFake(morning)
 	window := admission.NewWindow(clk)
 	running := 60
@@ -42,12 +42,12 @@
 	assert.GreaterOrEqual(t, window.Size(), 10*small)
 }
 
-// Symptom: callers are refused while a third of the slots are free. Events:
-// 37 instances spread short calls over eleven endpoints with six slots, by
-// news that is older than a call lasts; at most endpoints some calls queue
-// while others have room. Cause: any queue shrank the window. Four calls
-// waiting at six slots are 13 ms of wait.
-func TestQueuesOfShortCallsLeaveWindowAlone(t *testing.T) {
+// Guards against refusals while a third of the slots are free. 37 instances
+// distribute short calls over eleven endpoints of six slots by load reports that
+// are older than a call takes, so that calls queue at most endpoints while others
+// have free slots. Any queue used to shrink the window. Four calls queued at six
+// slots are only 13 ms of wait.
+func TestShortCallQueuesDoNotShrinkWindow(t *testing.T) {
 	clk := clock.NewFake(morning)
 	window := admission.NewWindow(clk)
 	before := window.Size()
@@ -58,10 +58,10 @@
 	assert.Equal(t, before, window.Size())
 }
 
-// Symptom: an instance serves one request at a time for seconds after a
-// moment of overload. Events: twenty answers of one moment all tell of the
-// same queue. Cause: each of them shrank the window.
-func TestOneMomentShrinksWindowOnce(t *testing.T) {
+// Guards against an instance that serves one request at a time for seconds after
+// a short overload. Twenty simultaneous responses report the same queue; each
+// of them used to shrink the window.
+func TestSimultaneousReportsShrinkWindowOnce(t *testing.T) {
 	window := admission.NewWindow(clock.NewFake(morning))
 	for range 20 {
 		window.Told(12, 8, 40, 0, turnTime)
@@ -69,13 +69,11 @@
 	assert.Equal(t, 34, window.Size())
 }
 
-// Symptom: in a burst of twice what the endpoints can do, nearly all
-// programs end late, though half of them could be in time. Events: turns go
-// in order of arrival; each program waits a little at each of its turns, and
-// the wait grows until all are late, and late ones hold up those that are
-// not. Cause: which program a turn belongs to, and whether it can still be
-// in time, was not looked at.
-func TestProgramsInTimeGoFirst(t *testing.T) {
+// Guards against nearly all programs ending late in a burst of twice the
+// endpoints' capacity, though half of them could end on time. In order of arrival
+// each program waits a little at each turn, the waits grow until all programs are
+// late, and late ones delay those that are on time.
+func TestProgramsOnTimePrecedeLateOnes(t *testing.T) {
 	ticket := func(urgency int, arrived, finish time.Duration, isNew bool) *admission.Ticket {
 		return &admission.Ticket{Urgency: urgency, Arrived: morning.Add(arrived), Finish: morning.Add(finish), New: isNew}
 	}
@@ -94,6 +92,6 @@
 	for i := range len(want) - 1 {
 		a, b := want[i], want[i+1]
 		classA, classB := order.Class(a.Urgency, a), order.Class(b.Urgency, b)
-		assert.True(t, classA > classB || classA == classB && order.Key(a) < order.Key(b), "%d goes before %d", i, i+1)
+		assert.True(t, classA > classB || classA == classB && order.Key(a) < order.Key(b), "ticket %d precedes ticket %d", i, i+1)
 	}
 }
