--- a/route/doc.go
+++ b/route/doc.go
@@ -1,5 +1,5 @@
-// Package route holds the configuration that operators put in force: which
-// hosts and paths lead to which services, and what each route promises its
-// callers. A Table is immutable; a Current only ever moves to a newer one.
-// The package does no input or output.
+// Package route holds the configuration activated by operators: which hosts
+// and paths lead to which services, the properties of each route, and the
+// organisations with their keys and quotas. A Table is immutable; a Current is
+// only ever replaced by a newer Table. The package does no input or output.
 package route
--- a/route/organisation.go
+++ b/route/organisation.go
@@ -5,12 +5,12 @@
 	"fmt"
 )
 
-// Key is the digest of an organisation's key. Keys are secrets: the digest is
-// all that is held of them, and looking one up takes the same time however much
-// of it is right. The zero value stands for no key.
+// Key is the SHA-256 digest of an organisation's secret key. Only the digest is
+// held, and the time of a lookup does not depend on how much of a presented key is
+// right. The zero value represents no key.
 type Key [sha256.Size]byte
 
-// NewKey returns the digest of a key; the zero value if it is empty.
+// NewKey returns the digest of secret, the zero value if secret is empty.
 func NewKey(secret string) Key {
 	if secret == "" {
 		return Key{}
@@ -18,43 +18,48 @@
 	return sha256.Sum256([]byte(secret))
 }
 
-// String hides the digest: it would let a guessed key be checked.
+// String returns a constant instead of the digest, which could be used to verify
+// guesses of the key.
 func (Key) String() string { return "key" }
 
-// Organisation is a customer whose callers show its keys and share its quota.
+// Organisation is a customer whose callers present its keys and share its quota.
 type Organisation struct {
 	Name string
-	// Keys are what its callers show.
+	// Keys are the keys that callers may present.
 	Keys []Key
-	// Priority goes before that of routes unless it is nil; 0 is the highest.
+	// Priority takes precedence over the priority of routes unless it is nil; 0
+	// is the highest.
 	Priority *int
-	// Quota bounds its requests over all instances; nil is no limit.
+	// Quota bounds its requests over all instances; nil means no limit.
 	Quota *Quota
 }
 
-// Quota bounds the requests of an organisation.
+// Quota bounds the request rate of an organisation.
 type Quota struct {
-	// Rate is in requests a second, Burst in requests on top.
+	// Rate is in requests a second. Burst is the number of requests allowed in
+	// addition.
 	Rate, Burst float64
 }
 
-// InvalidOrganisationError is a configuration that cannot be put in force for
-// one of its organisations. It never holds a key.
+// InvalidOrganisationError is returned by NewTable for a configuration with an
+// invalid organisation. It never contains a key.
 type InvalidOrganisationError struct {
 	organisation string
 	reason       string
 }
 
-// Error names the organisation at fault and what is wrong with it.
+// Error returns a message with the name of the invalid organisation and the
+// reason.
 func (e *InvalidOrganisationError) Error() string {
 	return fmt.Sprintf("configuration invalid: organisation %q: %s", e.organisation, e.reason)
 }
 
-// organisations finds organisations by their keys.
+// organisations maps keys to organisations.
 type organisations map[Key]*Organisation
 
-// newOrganisations returns an *InvalidOrganisationError unless each key leads
-// to one organisation.
+// newOrganisations returns the organisations by key. It returns an
+// *InvalidOrganisationError if an organisation is invalid, or if a key is empty
+// or used twice.
 func newOrganisations(list []*Organisation) (organisations, error) {
 	byKey, names := organisations{}, map[string]bool{}
 	for _, organisation := range list {
@@ -63,11 +68,11 @@
 		}
 		switch quota := organisation.Quota; {
 		case organisation.Name == "":
-			return nil, invalid("no name")
+			return nil, invalid("missing name")
 		case names[organisation.Name]:
-			return nil, invalid("the name stands twice")
+			return nil, invalid("duplicate name")
 		case quota != nil && !(quota.Rate >= 0 && quota.Burst >= 0):
-			return nil, invalid("negative quota")
+			return nil, invalid("quota is negative or not a number")
 		case organisation.Priority != nil && *organisation.Priority < 0:
 			return nil, invalid("negative priority")
 		}
@@ -85,16 +90,17 @@
 	return byKey, nil
 }
 
-// mostPriority bounds a priority within a rank.
-const mostPriority = 255
+// maxPriority is the highest priority value that Rank distinguishes.
+const maxPriority = 255
 
-// Rank returns the place of a request of the organisation, nil for none, on
-// route: the lowest goes first. The organisation's priority goes before the
-// route's, which orders requests of equal organisations.
+// Rank returns the position of a request on route: the lowest rank is first.
+// organisation is nil for a request without one. The organisation's priority
+// takes precedence; the route's priority orders requests of organisations with
+// equal priority.
 func Rank(organisation *Organisation, route *Route) int {
 	level := route.Priority
 	if organisation != nil && organisation.Priority != nil {
 		level = *organisation.Priority
 	}
-	return min(max(level, 0), mostPriority)*(mostPriority+1) + min(max(route.Priority, 0), mostPriority)
+	return min(max(level, 0), maxPriority)*(maxPriority+1) + min(max(route.Priority, 0), maxPriority)
 }
--- a/route/organisation_test.go
+++ b/route/organisation_test.go
@@ -19,7 +19,7 @@
 	return organisation
 }
 
-func TestOrganisationIsFoundByAnyOfItsKeys(t *testing.T) {
+func TestOrganisationIsFoundByEachKey(t *testing.T) {
 	open := to("a.example", "/open/", "s")
 	open.Public = true
 	table, err := route.NewTable(1, []*route.Route{to("a.example", "/", "s"), open}, nil, []*route.Organisation{organisation("x", "k1", "k2"), organisation("y", "k3")}, route.Limits{})
@@ -39,8 +39,8 @@
 	assert.False(t, without.NeedsKey(without.Match("a.example", "/x")))
 }
 
-// A configuration in which an organisation cannot be told apart is refused,
-// and the error holds no key.
+// A configuration with an ambiguous or invalid organisation is rejected, and the
+// error contains no key.
 func TestInvalidOrganisationIsRefused(t *testing.T) {
 	negative := -1
 	for name, bad := range map[string][]*route.Organisation{
@@ -66,7 +66,7 @@
 	assert.Equal(t, "key key", fmt.Sprintf("%v %s", key, key))
 }
 
-func TestRankPutsTheOrganisationBeforeTheRoute(t *testing.T) {
+func TestRankSortsByOrganisationBeforeRoute(t *testing.T) {
 	first, last := 0, 9
 	urgent, plain := &route.Organisation{Priority: &first}, &route.Organisation{Priority: &last}
 	high, low := &route.Route{Priority: 0}, &route.Route{Priority: 2}
--- a/route/route.go
+++ b/route/route.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Kind says what may be repeated on a route.
+// Kind determines whether requests on a route may be repeated.
 type Kind int
 
 //go:generate stringer -type=Kind -trimprefix=Kind
@@ -16,18 +16,19 @@
 	KindIdempotent Kind = iota
 	// KindNonIdempotent requests may run at most once.
 	KindNonIdempotent
-	// KindStream requests are answered by a series of events; they may run
-	// once, unless the route is resumable.
+	// KindStream requests have a series of events as their response. They may
+	// run at most once unless the route is resumable.
 	KindStream
 )
 
-// Target is a service that takes a share of a route's requests.
+// Target is a service that receives a share of a route's requests.
 type Target struct {
 	Service string
 	Weight  int
 }
 
-// Route is one entry of the configuration.
+// Route is a route of the configuration: the requests for a host and path prefix,
+// and how they are served.
 type Route struct {
 	Name   string
 	Host   string
@@ -35,34 +36,35 @@
 	Kind   Kind
 	// Targets share the requests by weight.
 	Targets []Target
-	// Timeout is the longest that a request is kept waiting.
+	// Timeout is the maximum time that a request is kept waiting.
 	Timeout time.Duration
-	// Objective is the time within which an answer is worth its full value:
-	// up to the first event for a stream.
+	// Objective is the time within which a response has its full value; for a
+	// stream, the time to the first event.
 	Objective time.Duration
-	// Pause is the longest pause between events of an answer in time.
+	// Pause is the maximum gap between events of a response that is on time.
 	Pause time.Duration
-	// Priority is the rank of the route's requests; 0 is the highest.
+	// Priority is the priority of the route's requests; 0 is the highest.
 	Priority int
-	// Attempts is the most endpoints that may run one request; at least 1.
+	// Attempts is the maximum number of endpoints that may run one request; at
+	// least 1.
 	Attempts int
-	// KeepsHistory: requests carry only new input; what was said before is
-	// kept here for Retention after a turn ends.
+	// KeepsHistory means that requests carry only new input. The earlier
+	// messages are stored here for Retention after a turn ends.
 	KeepsHistory bool
 	Retention    time.Duration
-	// Resumable streams may go on at another endpoint after the last event
-	// received.
+	// Resumable streams may be continued at another endpoint after the last
+	// event received.
 	Resumable bool
-	// Public routes are open to callers without an organisation's key.
+	// Public routes accept callers without an organisation's key.
 	Public bool
 }
 
-// Repeatable reports whether a request may run again after it may have run.
+// Repeatable reports whether a request that may have run already may run again.
 func (route *Route) Repeatable() bool {
 	return route.Kind == KindIdempotent || route.Kind == KindStream && route.Resumable
 }
 
-// Pick returns the service that takes the next request.
+// Pick returns the service for the next request, at random by weight.
 func (route *Route) Pick() string {
 	if len(route.Targets) == 1 {
 		return route.Targets[0].Service
@@ -84,24 +86,25 @@
 	return route.Targets[len(route.Targets)-1].Service
 }
 
-// Service is a group of endpoints that do the same work.
+// Service is a group of equivalent endpoints.
 type Service struct {
 	Name string
 	// Model is set for services that run a language model.
 	Model *Model
 }
 
-// Model says how a service's engines work.
+// Model describes the engines of a service.
 type Model struct {
-	// Slots requests run in one batch.
+	// Slots is the number of requests that run in one batch.
 	Slots int
-	// Capacity is an engine's memory, in tokens.
+	// Capacity is an engine's memory in tokens.
 	Capacity int64
-	// EventTokens is how many tokens one event of an answer counts.
+	// EventTokens is the number of tokens that one event of a response counts
+	// for.
 	EventTokens int64
 }
 
-// Limits bound what a caller may send.
+// Limits bounds the requests of callers.
 type Limits struct {
 	BodyBytes int64
 }
--- a/route/table.go
+++ b/route/table.go
@@ -7,18 +7,18 @@
 	"sync/atomic"
 )
 
-// InvalidError is a configuration that cannot be put in force.
+// InvalidError is returned by NewTable for a configuration with an invalid route.
 type InvalidError struct {
 	route  string
 	reason string
 }
 
-// Error names the route at fault and what is wrong with it.
+// Error returns a message with the name of the invalid route and the reason.
 func (e *InvalidError) Error() string {
 	return fmt.Sprintf("configuration invalid: route %q: %s", e.route, e.reason)
 }
 
-// Table is a configuration in force.
+// Table is one version of the configuration.
 type Table struct {
 	version  uint64
 	hosts    map[string][]*Route
@@ -28,10 +28,10 @@
 	limits        Limits
 }
 
-// NewTable returns the table of a configuration. It returns an *InvalidError
-// if a route cannot be served, and an *InvalidOrganisationError for an
-// organisation that cannot be told apart. Without organisations, callers need
-// no key.
+// NewTable returns the table of a configuration. It returns an *InvalidError if a
+// route has no host, no target or an invalid prefix, and an
+// *InvalidOrganisationError if an organisation is invalid or shares a name or key
+// with another one. Without organisations, callers need no key.
 func NewTable(version uint64, routes []*Route, services []*Service, organisations []*Organisation, limits Limits) (*Table, error) {
 	table := &Table{version: version, hosts: map[string][]*Route{}, services: map[string]*Service{}, limits: limits}
 	if len(organisations) > 0 {
@@ -44,7 +44,7 @@
 		table.services[service.Name] = service
 	}
 	for _, route := range routes {
-		if err := check(route); err != nil {
+		if err := validate(route); err != nil {
 			return nil, err
 		}
 		host := strings.ToLower(route.Host)
@@ -56,31 +56,32 @@
 	return table, nil
 }
 
-func check(route *Route) error {
+// validate returns an *InvalidError if the route cannot be served.
+func validate(route *Route) error {
 	switch {
 	case route.Host == "":
-		return &InvalidError{route: route.Name, reason: "no host"}
+		return &InvalidError{route: route.Name, reason: "missing host"}
 	case !strings.HasPrefix(route.Prefix, "/") || !strings.HasSuffix(route.Prefix, "/"):
 		return &InvalidError{route: route.Name, reason: "prefix does not begin and end with a slash"}
 	case len(route.Targets) == 0:
-		return &InvalidError{route: route.Name, reason: "no service"}
+		return &InvalidError{route: route.Name, reason: "no target service"}
 	}
 	return nil
 }
 
-// Version returns the configuration's version.
+// Version returns the version of the configuration.
 func (table *Table) Version() uint64 { return table.version }
 
-// Limits returns what callers may send.
+// Limits returns the limits on requests of callers.
 func (table *Table) Limits() Limits { return table.limits }
 
-// NeedsKey reports whether a request on route must show an organisation's key.
+// NeedsKey reports whether a request on route must present an organisation's key.
 func (table *Table) NeedsKey(route *Route) bool { return table.organisations != nil && !route.Public }
 
-// Organisation returns the organisation that holds a key, nil if none does.
+// Organisation returns the organisation with the given key, nil if there is none.
 func (table *Table) Organisation(key Key) *Organisation { return table.organisations[key] }
 
-// Routes returns how many routes there are.
+// Routes returns the number of routes.
 func (table *Table) Routes() int {
 	n := 0
 	for _, list := range table.hosts {
@@ -89,11 +90,11 @@
 	return n
 }
 
-// Service returns the service of a name, nil if it is unknown.
+// Service returns the service with the given name, nil if it is unknown.
 func (table *Table) Service(name string) *Service { return table.services[name] }
 
-// Match returns the route of the host with the longest prefix that begins
-// path, nil if there is none. The host may carry a port.
+// Match returns the route of the host with the longest prefix of path, nil if
+// there is none. The host may include a port.
 func (table *Table) Match(host, path string) *Route {
 	if i := strings.LastIndexByte(host, ':'); i >= 0 {
 		host = host[:i]
@@ -106,17 +107,17 @@
 	return nil
 }
 
-// Current is the table in force at this process. It never goes back to an
-// older version, whatever order tables arrive in. The zero value holds none.
+// Current holds the active table of this process. It never returns to an older
+// version, in whatever order tables arrive. The zero value holds none.
 type Current struct {
 	table atomic.Pointer[Table]
 }
 
-// Load returns the table in force, nil before the first.
+// Load returns the active table, nil before the first.
 func (current *Current) Load() *Table { return current.table.Load() }
 
-// Offer puts table in force if it is newer than what is, and reports
-// whether it did.
+// Offer makes table the active one if it is newer than the present one, and
+// reports whether it did.
 func (current *Current) Offer(table *Table) bool {
 	for {
 		old := current.table.Load()
--- a/route/table_test.go
+++ b/route/table_test.go
@@ -21,7 +21,7 @@
 	return &route.Route{Name: host + prefix, Host: host, Prefix: prefix, Targets: []route.Target{{Service: service, Weight: 1}}}
 }
 
-func TestMatchLongestPrefixOfHost(t *testing.T) {
+func TestMatchReturnsLongestPrefixOfHost(t *testing.T) {
 	table := table(t, 1, to("a.example", "/", "root"), to("a.example", "/x/y/", "deep"), to("a.example", "/x/", "shallow"), to("b.example", "/x/", "other"))
 	for _, test := range []struct{ host, path, service string }{
 		{"a.example", "/x/y/z", "deep"},
@@ -42,10 +42,10 @@
 	}
 }
 
-// Symptom: a route that was changed is served by its old service again.
-// Events: the feed gives version 7; a read that began before gives version
-// 5 after it. Cause: the last to arrive, not the newest, was put in force.
-func TestCurrentNeverGoesBack(t *testing.T) {
+// Guards against a changed route being served by its old service again. The feed
+// delivers version 7; a read that started earlier returns version 5 after it. The
+// last table to arrive, not the newest, used to become active.
+func TestCurrentRejectsOlderTables(t *testing.T) {
 	var current route.Current
 	require.Nil(t, current.Load())
 	assert.True(t, current.Offer(table(t, 7)))
