--- a/retry/budget.go
+++ b/retry/budget.go
@@ -1,7 +1,6 @@
-// Package retry bounds and spaces retries: a Budget keeps them a small
-// share of the calls, so that an overloaded system is not loaded further by
-// its own retries, and a Backoff spreads them out. It does no input or
-// output.
+// Package retry limits and spaces retries. A Budget keeps them to a small share
+// of the calls, so that an overloaded system is not loaded further by its own
+// retries. A Backoff spreads them out. The package does no input or output.
 package retry
 
 import (
@@ -10,29 +9,31 @@
 	"time"
 )
 
-// Budget allows retries up to a share of the calls made, with a reserve
-// for quiet times. Its zero value allows none; call NewBudget.
+// Budget allows retries up to a share of the calls made, plus a reserve that
+// accumulates when there are few retries. It is safe for concurrent use. The zero
+// value allows none; call NewBudget.
 type Budget struct {
-	mu      sync.Mutex
-	share   float64
-	reserve float64
-	tokens  float64
+	mu        sync.Mutex
+	ratio     float64
+	maxTokens float64
+	tokens    float64
 }
 
-// NewBudget returns a budget of share retries per call, starting with and
-// saving at most reserve.
-func NewBudget(share, reserve float64) *Budget {
-	return &Budget{share: share, reserve: reserve, tokens: reserve}
+// NewBudget returns a budget that earns ratio retries per call. It starts with
+// maxTokens retries and accumulates no more than these.
+func NewBudget(ratio, maxTokens float64) *Budget {
+	return &Budget{ratio: ratio, maxTokens: maxTokens, tokens: maxTokens}
 }
 
-// Call counts a call, earning its share of a retry.
+// Call records a call, which earns its share of a retry.
 func (b *Budget) Call() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.tokens = min(b.tokens+b.share, b.reserve)
+	b.tokens = min(b.tokens+b.ratio, b.maxTokens)
 }
 
-// Retry reports whether a retry may be made now, and counts it if so.
+// Retry reports whether a retry may be made now, and takes it from the budget if
+// so.
 func (b *Budget) Retry() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -43,29 +44,29 @@
 	return true
 }
 
-// Backoff gives growing pauses between tries. The zero value pauses not at
-// all; it is not safe for concurrent use.
+// Backoff returns growing random delays between attempts. The zero value returns
+// no delay. A Backoff is not safe for concurrent use.
 type Backoff struct {
-	// First is the longest first pause; each next may be twice as long, up
-	// to Most.
+	// First is the upper bound of the first delay. The bound doubles with each
+	// attempt up to Most.
 	First, Most time.Duration
 
-	tries int
+	attempts int
 }
 
-// Next returns the pause before the next try: at random between nothing
-// and the current bound ("full jitter"), so that callers that failed
-// together do not come back together.
+// Next returns the delay before the next attempt. It is random between 0 and the
+// current bound ("full jitter"), so that callers that failed at the same time do
+// not retry at the same time.
 func (b *Backoff) Next() time.Duration {
-	bound := b.First << min(b.tries, 30)
+	bound := b.First << min(b.attempts, 30)
 	if bound <= 0 || bound > b.Most {
 		bound = b.Most
 	}
-	b.tries++
+	b.attempts++
 	return Jitter(bound)
 }
 
-// Jitter returns a duration at random in [0, d].
+// Jitter returns a random duration in [0, d], 0 if d is not positive.
 func Jitter(d time.Duration) time.Duration {
 	if d <= 0 {
 		return 0
--- a/retry/budget_test.go
+++ b/retry/budget_test.go
@@ -10,12 +10,10 @@
 	"github.com/wagtaildrum/wagtaildrum/retry"
 )
 
-// TestBudgetBoundsRetries: retries stay a share of the calls.
-//
-// Symptom: an overloaded system gets three times its load from itself.
-// Sequence: 1,000 calls, each failing and asking to be tried twice more.
-// Cause: a bound per call, but none for all calls together.
-func TestBudgetBoundsRetries(t *testing.T) {
+// TestBudgetLimitsRetriesToShareOfCalls guards against an overloaded system that
+// triples its own load. 1,000 calls fail, and each requests two retries. A limit
+// per call alone does not bound the retries of all calls together.
+func TestBudgetLimitsRetriesToShareOfCalls(t *testing.T) {
 	b := retry.NewBudget(0.1, 5)
 	retries := 0
 	for range 1000 {
@@ -30,8 +28,8 @@
 	require.GreaterOrEqual(t, retries, 95)
 }
 
-// TestBackoffGrowsAndStaysBounded checks the bounds of the pauses.
-func TestBackoffGrowsAndStaysBounded(t *testing.T) {
+// TestBackoffIsBounded checks the bounds of the delays.
+func TestBackoffIsBounded(t *testing.T) {
 	b := retry.Backoff{First: 10 * time.Millisecond, Most: 100 * time.Millisecond}
 	bound := 10 * time.Millisecond
 	for range 100 {
