--- a/membership/doc.go
+++ b/membership/doc.go
@@ -1,4 +1,5 @@
-// Package membership knows which endpoints exist and may be given work, from
-// a list that lags, and that loses entries of live endpoints while its store
-// is away. It does no input or output.
+// Package membership records which endpoints exist and may be given work. Its
+// source is a list in a store, which lags behind and loses entries of running
+// endpoints while the store is unavailable. The package does no input or
+// output.
 package membership
--- a/membership/list.go
+++ b/membership/list.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// State is what is known of an endpoint's readiness.
+// State is the readiness of an endpoint.
 type State int
 
 //go:generate stringer -type=State -trimprefix=State
@@ -18,13 +18,14 @@
 const (
 	// StateReady endpoints take work.
 	StateReady State = iota
-	// StateDraining endpoints leave: they finish what they have.
+	// StateDraining endpoints are shutting down: they finish their requests and
+	// take no new ones.
 	StateDraining
-	// StateMissing endpoints left the list around an outage of its store.
-	// They take work until the grace time ends.
+	// StateMissing endpoints disappeared from the list during or shortly after
+	// an outage of its store. They take work until the grace period ends.
 	StateMissing
-	// StateInvalid endpoints have an entry that names none to use, as another
-	// writer left it. They take no work until a good entry replaces it.
+	// StateInvalid endpoints have an entry without a usable endpoint, written by
+	// another writer. They take no work until a valid entry replaces it.
 	StateInvalid
 )
 
@@ -33,10 +34,11 @@
 
 // Endpoint is an instance of a service. It is immutable.
 type Endpoint struct {
-	// ID is the endpoint's; one that starts again may keep it.
+	// ID identifies the endpoint. It may stay the same across restarts.
 	ID string
-	// Born is when it started, in its own milliseconds since 1970; 0 if it
-	// does not tell. It tells its starts apart.
+	// Born is the time at which the endpoint started, by its own clock in
+	// milliseconds since 1970; 0 if it is not reported. It distinguishes the
+	// incarnations of an endpoint.
 	Born       int64
 	Service    string
 	Address    string
@@ -45,9 +47,9 @@
 	State      State
 }
 
-// Incarnation names one start of the endpoint. What is believed of an
-// endpoint is believed of one start: the next one has an empty memory and
-// none of the requests and faults of the one before.
+// Incarnation returns the name of the endpoint's present incarnation. Statistics
+// and cache content are recorded per incarnation: a restarted endpoint has empty
+// memory and none of the earlier requests and faults.
 func (endpoint *Endpoint) Incarnation() string {
 	if endpoint.Born == 0 {
 		return endpoint.ID
@@ -55,71 +57,72 @@
 	return endpoint.ID + "@" + strconv.FormatInt(endpoint.Born, 10)
 }
 
-// Missing endpoints of an outage are back in the list within about two
-// seconds of the store's return, if they live; recoveryGrace is that time.
+// recoveryGrace is how long endpoints may stay missing after the store's return.
+// Running endpoints are back in the list within about two seconds.
 const recoveryGrace = 2 * time.Second
 
-// List is the endpoints known to this process. Use NewList.
+// List holds the endpoints known to this process. It is safe for concurrent use.
+// The zero value is not usable; call NewList.
 type List struct {
 	mu        sync.Mutex
 	endpoints map[string]*Endpoint
-	// missing holds when an endpoint in StateMissing was first seen so.
-	missing map[string]time.Time
-	// returned is when the store was last seen to come back from an outage;
-	// away is set during one.
-	returned time.Time
-	away     bool
-	services atomic.Pointer[map[string][]*Endpoint]
-	known    atomic.Bool
+	// missingSince holds when an endpoint in StateMissing was first missing.
+	missingSince map[string]time.Time
+	// storeReturnedAt is when the store last returned from an outage;
+	// storeUnavailable is set during an outage.
+	storeReturnedAt  time.Time
+	storeUnavailable bool
+	services         atomic.Pointer[map[string][]*Endpoint]
+	loaded           atomic.Bool
 }
 
 // NewList returns an empty list.
 func NewList() *List {
-	list := &List{endpoints: map[string]*Endpoint{}, missing: map[string]time.Time{}}
+	list := &List{endpoints: map[string]*Endpoint{}, missingSince: map[string]time.Time{}}
 	list.services.Store(&map[string][]*Endpoint{})
 	return list
 }
 
-// Known reports whether the list was read once.
-func (list *List) Known() bool { return list.known.Load() }
+// Known reports whether the list has been read completely at least once.
+func (list *List) Known() bool { return list.loaded.Load() }
 
-// Service returns the endpoints of a service that may take work, in order
-// of ID. The caller must not change the slice.
+// Service returns the endpoints of a service that may take work, in order of ID.
+// The caller must not modify the slice.
 func (list *List) Service(name string) []*Endpoint { return (*list.services.Load())[name] }
 
-// Has reports whether the endpoint of an ID may take work.
+// Has reports whether the endpoint with the given ID may take work for service.
 func (list *List) Has(service, id string) bool {
 	_, ok := slices.BinarySearchFunc(list.Service(service), id, func(endpoint *Endpoint, id string) int { return strings.Compare(endpoint.ID, id) })
 	return ok
 }
 
-// Len returns how many endpoints are known, leaving ones included.
+// Len returns the number of endpoints, including those that take no work.
 func (list *List) Len() int {
 	list.mu.Lock()
 	defer list.mu.Unlock()
 	return len(list.endpoints)
 }
 
-// StoreLost notes that the list cannot be read.
+// StoreLost records that the list cannot be read.
 func (list *List) StoreLost() {
 	list.mu.Lock()
 	defer list.mu.Unlock()
-	list.away = true
+	list.storeUnavailable = true
 }
 
-// StoreBack notes that the list could be read again at now.
+// StoreBack records that the list could be read again at now.
 func (list *List) StoreBack(now time.Time) {
 	list.mu.Lock()
 	defer list.mu.Unlock()
-	if list.away {
-		list.away = false
-		list.returned = now
+	if list.storeUnavailable {
+		list.storeUnavailable = false
+		list.storeReturnedAt = now
 	}
 }
 
-// Put takes in an endpoint as the list has it. It reports whether the
-// endpoint started again since it was last put. An entry of an earlier start
-// changes nothing: a heartbeat may be written late.
+// Put records the list's entry of an endpoint. It reports whether the endpoint
+// restarted since the last entry. The entry of an earlier incarnation, such as a
+// delayed heartbeat, is ignored, except that it marks a missing endpoint as ready.
 func (list *List) Put(endpoint *Endpoint) (restarted bool) {
 	list.mu.Lock()
 	defer list.mu.Unlock()
@@ -128,34 +131,36 @@
 	return restarted
 }
 
+// put is Put without locking and publishing.
 func (list *List) put(endpoint *Endpoint) (restarted bool) {
-	known, ok := list.endpoints[endpoint.ID]
-	delete(list.missing, endpoint.ID)
+	previous, ok := list.endpoints[endpoint.ID]
+	delete(list.missingSince, endpoint.ID)
 	switch {
 	case !ok:
-	case endpoint.State == StateInvalid, endpoint.Born == 0 && known.Born != 0:
-		// An entry that lacks what the endpoint always tells is another
-		// writer's, too. Which start was the last one stays known.
-		invalid := *known
+	case endpoint.State == StateInvalid, endpoint.Born == 0 && previous.Born != 0:
+		// An entry without the start time that the endpoint reported before
+		// comes from another writer, too. The last incarnation is kept.
+		invalid := *previous
 		invalid.State = StateInvalid
 		endpoint = &invalid
-	case endpoint.Born < known.Born && known.State == StateMissing:
-		// The entry is back, though an old one: the endpoint did not lapse.
-		back := *known
-		back.State = StateReady
-		endpoint = &back
-	case endpoint.Born < known.Born:
+	case endpoint.Born < previous.Born && previous.State == StateMissing:
+		// The entry is present again, though an outdated one: the endpoint
+		// has not left.
+		ready := *previous
+		ready.State = StateReady
+		endpoint = &ready
+	case endpoint.Born < previous.Born:
 		return false
 	default:
-		restarted = endpoint.Born > known.Born && known.Address != ""
+		restarted = endpoint.Born > previous.Born && previous.Address != ""
 	}
 	list.endpoints[endpoint.ID] = endpoint
 	return restarted
 }
 
-// Remove takes in that an endpoint left the list. Around an outage of the
-// store a ready endpoint may have lapsed though it lives: it keeps taking
-// work until recoveryGrace after the store's return (see Expire).
+// Remove records that an endpoint left the list. Around an outage of the store
+// the entry of a running endpoint may have expired, so a ready endpoint keeps
+// taking work until recoveryGrace after the store's return (see Expire).
 func (list *List) Remove(id string, now time.Time) {
 	list.mu.Lock()
 	defer list.mu.Unlock()
@@ -163,14 +168,15 @@
 	list.publish()
 }
 
+// remove is Remove without locking and publishing.
 func (list *List) remove(id string, now time.Time) {
 	endpoint, ok := list.endpoints[id]
 	if !ok {
 		return
 	}
-	if !endpoint.State.takesWork() || !list.away && now.Sub(list.returned) >= recoveryGrace {
+	if !endpoint.State.takesWork() || !list.storeUnavailable && now.Sub(list.storeReturnedAt) >= recoveryGrace {
 		delete(list.endpoints, id)
-		delete(list.missing, id)
+		delete(list.missingSince, id)
 		return
 	}
 	if endpoint.State == StateMissing {
@@ -179,16 +185,16 @@
 	lapsed := *endpoint
 	lapsed.State = StateMissing
 	list.endpoints[id] = &lapsed
-	list.missing[id] = now
+	list.missingSince[id] = now
 }
 
-// Replace takes in the whole list, read at now, and returns the endpoints
-// that started again since they were last put.
-func (list *List) Replace(all []*Endpoint, now time.Time) (restarted []*Endpoint) {
+// Replace records the complete list, read at now, and returns the endpoints that
+// restarted since their last entry.
+func (list *List) Replace(listed []*Endpoint, now time.Time) (restarted []*Endpoint) {
 	list.mu.Lock()
 	defer list.mu.Unlock()
-	present := make(map[string]bool, len(all))
-	for _, endpoint := range all {
+	present := make(map[string]bool, len(listed))
+	for _, endpoint := range listed {
 		present[endpoint.ID] = true
 		if list.put(endpoint) {
 			restarted = append(restarted, endpoint)
@@ -200,29 +206,30 @@
 		}
 	}
 	list.publish()
-	list.known.Store(true)
+	list.loaded.Store(true)
 	return restarted
 }
 
-// Expire drops the endpoints still missing recoveryGrace after the store's
-// return, and returns their IDs.
+// Expire removes the endpoints that are still missing recoveryGrace after the
+// store's return, and returns their IDs in order.
 func (list *List) Expire(now time.Time) []string {
 	list.mu.Lock()
 	defer list.mu.Unlock()
-	if list.away || len(list.missing) == 0 || now.Sub(list.returned) < recoveryGrace {
+	if list.storeUnavailable || len(list.missingSince) == 0 || now.Sub(list.storeReturnedAt) < recoveryGrace {
 		return nil
 	}
-	var gone []string
-	for id := range list.missing {
+	var expired []string
+	for id := range list.missingSince {
 		delete(list.endpoints, id)
-		gone = append(gone, id)
+		expired = append(expired, id)
 	}
-	clear(list.missing)
+	clear(list.missingSince)
 	list.publish()
-	slices.Sort(gone)
-	return gone
+	slices.Sort(expired)
+	return expired
 }
 
+// publish updates the lists that Service returns.
 func (list *List) publish() {
 	services := map[string][]*Endpoint{}
 	for _, endpoint := range list.endpoints {
@@ -236,8 +243,8 @@
 	list.services.Store(&services)
 }
 
-// Knows reports whether the list holds the start of an endpoint that
-// incarnation names, leaving or not.
+// Knows reports whether the list holds the named incarnation of an endpoint,
+// whether or not it takes work.
 func (list *List) Knows(incarnation string) bool {
 	id, _, _ := strings.Cut(incarnation, "@")
 	list.mu.Lock()
--- a/membership/list_test.go
+++ b/membership/list_test.go
@@ -23,7 +23,7 @@
 	return ids
 }
 
-func TestDrainingAndGoneTakeNoWork(t *testing.T) {
+func TestDrainingAndRemovedEndpointsTakeNoWork(t *testing.T) {
 	list := membership.NewList()
 	assert.False(t, list.Known())
 	list.Replace([]*membership.Endpoint{endpoint("a", membership.StateReady), endpoint("b", membership.StateReady), endpoint("c", membership.StateReady)}, start)
@@ -37,12 +37,12 @@
 	assert.False(t, list.Knows("a"))
 }
 
-// Symptom: after an outage of the store of a few seconds no endpoint is
-// left, and all requests are refused while every endpoint works. Events: the
-// store is away; its entries lapse; it returns; the feed says that all were
-// removed, and the endpoints register again within two seconds. Cause: a
-// removal around an outage was taken for a departure.
-func TestEndpointsSurviveOutageOfList(t *testing.T) {
+// Guards against the loss of all endpoints after a store outage of a few seconds,
+// with all requests refused while every endpoint runs. The entries expire while
+// the store is unavailable; on its return the feed reports all of them removed,
+// and the endpoints register again within two seconds. Removals around an outage
+// used to count as departures.
+func TestEndpointsSurviveStoreOutage(t *testing.T) {
 	list := membership.NewList()
 	list.Replace([]*membership.Endpoint{endpoint("a", membership.StateReady), endpoint("b", membership.StateReady), endpoint("c", membership.StateDraining)}, start)
 	list.StoreLost()
@@ -51,59 +51,59 @@
 		list.Remove(id, back)
 	}
 	list.StoreBack(back)
-	assert.Equal(t, []string{"a", "b"}, ids(list), "a draining one is gone for good")
+	assert.Equal(t, []string{"a", "b"}, ids(list), "a draining endpoint is removed immediately")
 	assert.Empty(t, list.Expire(back.Add(time.Second)))
 	list.Put(endpoint("a", membership.StateReady))
-	assert.Equal(t, []string{"b"}, list.Expire(back.Add(2*time.Second)), "what is still missing is gone")
+	assert.Equal(t, []string{"b"}, list.Expire(back.Add(2*time.Second)), "endpoints that are still missing are removed")
 	assert.Equal(t, []string{"a"}, ids(list))
 }
 
-// Symptom: requests go to endpoints that left seconds ago. Events: the feed's
-// history is lost while an endpoint leaves; the list is read whole. Cause:
-// the whole list only added.
-func TestReplaceDropsWhatIsNotListed(t *testing.T) {
+// Guards against requests to endpoints that left seconds ago. The feed's history
+// is lost while an endpoint leaves, and the complete list is read. Reading it used
+// to add endpoints only.
+func TestReplaceRemovesUnlistedEndpoints(t *testing.T) {
 	list := membership.NewList()
 	list.Replace([]*membership.Endpoint{endpoint("a", membership.StateReady), endpoint("b", membership.StateReady)}, start)
 	list.Replace([]*membership.Endpoint{endpoint("b", membership.StateReady)}, start.Add(time.Minute))
 	assert.Equal(t, []string{"b"}, ids(list))
 }
 
-func born(id string, at int64) *membership.Endpoint {
+func endpointBorn(id string, at int64) *membership.Endpoint {
 	started := endpoint(id, membership.StateReady)
 	started.Born = at
 	return started
 }
 
-// Symptom: an endpoint that started again is taken for the one before, with
-// its load, its faults and its cached prompts. Events: it crashes and starts
-// under the ID that it had; a heartbeat of its earlier start is written late.
-// Cause: only the ID told endpoints apart.
-func TestEndpointThatStartsAgain(t *testing.T) {
+// Guards against a restarted endpoint inheriting the load, faults and cached
+// prompts of its earlier incarnation. It crashes and restarts with the same ID,
+// and a heartbeat of the earlier incarnation is written late. The ID alone does
+// not distinguish incarnations.
+func TestRestartedEndpointIsNewIncarnation(t *testing.T) {
 	list := membership.NewList()
-	assert.False(t, list.Put(born("a", 100)))
-	assert.False(t, list.Put(born("a", 100)), "a heartbeat")
-	assert.True(t, list.Put(born("a", 200)))
-	assert.False(t, list.Put(born("a", 100)), "the late heartbeat")
+	assert.False(t, list.Put(endpointBorn("a", 100)))
+	assert.False(t, list.Put(endpointBorn("a", 100)), "a heartbeat of the same incarnation")
+	assert.True(t, list.Put(endpointBorn("a", 200)))
+	assert.False(t, list.Put(endpointBorn("a", 100)), "a delayed heartbeat of the earlier incarnation")
 	assert.Equal(t, "a@200", list.Service("model")[0].Incarnation())
 	assert.True(t, list.Knows("a@200"))
 	assert.False(t, list.Knows("a@100"))
-	assert.Equal(t, []*membership.Endpoint{born("a", 300)}, list.Replace([]*membership.Endpoint{born("a", 300)}, start))
+	assert.Equal(t, []*membership.Endpoint{endpointBorn("a", 300)}, list.Replace([]*membership.Endpoint{endpointBorn("a", 300)}, start))
 }
 
-// Symptom: requests go on to an endpoint whose entry another writer replaced,
-// or a whole service is lost to one bad entry. Events: an entry is overwritten
-// by one that names no endpoint; a good one follows. Cause: the bad entry was
-// passed over, so that the one before stayed in force.
-func TestBadEntryEndsItsEndpointOnly(t *testing.T) {
+// Guards against requests to an endpoint whose entry was overwritten by another
+// writer, and against the loss of a service to one invalid entry. An entry is
+// overwritten by one that names no endpoint; a valid one follows. The invalid
+// entry used to be skipped, which left the previous one in effect.
+func TestInvalidEntryDisablesOnlyItsEndpoint(t *testing.T) {
 	list := membership.NewList()
-	list.Replace([]*membership.Endpoint{born("a", 100), born("b", 100)}, start)
+	list.Replace([]*membership.Endpoint{endpointBorn("a", 100), endpointBorn("b", 100)}, start)
 	list.Put(&membership.Endpoint{ID: "a", State: membership.StateInvalid})
 	assert.Equal(t, []string{"b"}, ids(list))
-	list.Put(born("a", 0))
-	assert.Equal(t, []string{"b"}, ids(list), "it lacks what the endpoint always tells")
-	list.Put(born("a", 50))
-	assert.Equal(t, []string{"b"}, ids(list), "an earlier start's")
-	assert.False(t, list.Put(born("a", 100)), "still the same start")
+	list.Put(endpointBorn("a", 0))
+	assert.Equal(t, []string{"b"}, ids(list), "an entry without a start time is invalid")
+	list.Put(endpointBorn("a", 50))
+	assert.Equal(t, []string{"b"}, ids(list), "an entry of an earlier incarnation")
+	assert.False(t, list.Put(endpointBorn("a", 100)), "the same incarnation")
 	assert.Equal(t, []string{"a", "b"}, ids(list))
 	list.Put(&membership.Endpoint{ID: "c", State: membership.StateInvalid})
 	list.Remove("c", start.Add(time.Minute))
@@ -111,14 +111,14 @@
 	list.StoreLost()
 	list.Put(&membership.Endpoint{ID: "a", State: membership.StateInvalid})
 	list.Remove("a", start.Add(time.Minute))
-	assert.False(t, list.Knows("a@100"), "an outage does not keep it")
+	assert.False(t, list.Knows("a@100"), "an invalid entry does not stay during an outage")
 }
 
-// Symptom: an endpoint that left a second after an outage gets work for
-// ever. Events: the store returns, an endpoint's entry goes within the grace
-// time, and it does not come back. Cause: none was looked at after the grace
-// time.
-func TestRemovedWithinGraceIsGoneAfterIt(t *testing.T) {
+// Guards against an endpoint that left a second after an outage receiving work
+// forever. The store returns, the endpoint's entry is removed within the grace
+// period, and it does not come back. Endpoints used not to be checked after the
+// grace period.
+func TestEndpointRemovedWithinGraceExpires(t *testing.T) {
 	list := membership.NewList()
 	list.Replace([]*membership.Endpoint{endpoint("a", membership.StateReady)}, start)
 	list.StoreLost()
