--- a/balance/picker.go
+++ b/balance/picker.go
@@ -21,7 +21,7 @@
 type Request struct {
 	// DataCentre is the data centre that received the request.
 	DataCentre string
-	// Parts holds the prompt segments in order; it is empty for a request
+	// Segments holds the prompt segments in order; it is empty for a request
 	// without a prompt.
 	Parts []Part
 	// Capacity is the size of an engine's key-value cache in tokens; 0 for a
@@ -131,9 +131,9 @@
 	responded bool
 	// hasPrompt reports whether the request has prompt segments.
 	hasPrompt bool
-	// Missing is the number of prompt tokens that the endpoint is expected to
+	// MissingTokens is the number of prompt tokens that the endpoint is expected to
 	// prefill.
-	Missing int64
+	MissingTokens int64
 	// Cost is the expected cost of the chosen endpoint.
 	Cost time.Duration
 }
@@ -169,7 +169,7 @@
 			better = picker.randIntN(ties) == 0
 		}
 		if better {
-			best = Choice{picker: picker, endpoint: candidate, state: state, startedAt: now, hasPrompt: len(request.Parts) > 0, Missing: missing, Cost: cost}
+			best = Choice{picker: picker, endpoint: candidate, state: state, startedAt: now, hasPrompt: len(request.Parts) > 0, MissingTokens: missing, Cost: cost}
 			bestAvoided = avoided
 		}
 	}
@@ -268,14 +268,14 @@
 	choice.responded = true
 	choice.state.health.resolved(now, true)
 	stats := picker.serviceStats(choice.endpoint.Service)
-	took, expected := now.Sub(choice.startedAt), stats.prefill.time(choice.Missing)
+	took, expected := now.Sub(choice.startedAt), stats.prefill.time(choice.MissingTokens)
 	headerTime := max(took-expected, 0)
 	choice.state.health.took(headerTime, now)
 	if stats.headerTime == 0 {
 		stats.headerTime = headerTime
 	}
 	if choice.hasPrompt {
-		stats.prefill.observe(choice.Missing, min(took, outlierFactor*(stats.headerTime+expected)))
+		stats.prefill.observe(choice.MissingTokens, min(took, outlierFactor*(stats.headerTime+expected)))
 	}
 	stats.headerTime += time.Duration(serviceTimeWeight * float64(headerTime-stats.headerTime))
 }
@@ -288,7 +288,7 @@
 	picker.state(incarnation).cache.record(segment, picker.clock.Now())
 }
 
-// Told records the load that the endpoint reported while it had the request.
+// ReportedLoad records the load that the endpoint reported while it had the request.
 func (choice *Choice) Told(load Load) {
 	picker := choice.picker
 	picker.mu.Lock()
@@ -371,10 +371,10 @@
 
 // View is the state of one endpoint incarnation in a state dump.
 type View struct {
-	ID       string `json:"id"`
-	InFlight int    `json:"in_flight"`
-	Told     Load   `json:"told"`
-	Parts    int    `json:"parts"`
+	ID           string `json:"id"`
+	InFlight     int    `json:"in_flight"`
+	ReportedLoad Load   `json:"told"`
+	Segments     int    `json:"parts"`
 }
 
 // Views returns the state of all endpoint incarnations, in no particular order.
@@ -383,7 +383,7 @@
 	defer picker.mu.Unlock()
 	views := make([]View, 0, len(picker.endpoints))
 	for id, state := range picker.endpoints {
-		views = append(views, View{ID: id, InFlight: state.inFlight, Told: state.reportedLoad, Parts: state.cache.len()})
+		views = append(views, View{ID: id, InFlight: state.inFlight, ReportedLoad: state.reportedLoad, Segments: state.cache.len()})
 	}
 	return views
 }
--- a/balance/picker_test.go
+++ b/balance/picker_test.go
@@ -182,12 +182,12 @@
 	for range 40 {
 		inFlight = append(inFlight, picker.Pick(endpoints, request, skipSecond))
 	}
-	warm := inFlight[39].Missing
+	warm := inFlight[39].MissingTokens
 	restarted := *endpoints[0]
 	restarted.Born = 1764720000000
 	endpoints = []*membership.Endpoint{&restarted, endpoints[1]}
 	first := picker.Pick(endpoints, request, skipSecond)
-	assert.Greater(t, first.Missing, warm, "the conversation is not cached")
+	assert.Greater(t, first.MissingTokens, warm, "the conversation is not cached")
 	assert.Less(t, first.Cost, inFlight[1].Cost+time.Second)
 	for _, choice := range inFlight {
 		choice.Done(balance.OutcomeBroken)
--- a/balance/prefill_test.go
+++ b/balance/prefill_test.go
@@ -43,7 +43,7 @@
 		request := &balance.Request{DataCentre: "a", Capacity: capacity, Parts: []balance.Part{
 			{ID: fmt.Sprint("shared", rng.IntN(8)), Tokens: 12600}, {ID: fmt.Sprint("s", rng.IntN(200), n/40), Tokens: int64(300 + rng.IntN(2000))}}}
 		choice := picker.Pick(endpoints, request, skipNone)
-		missing := choice.Missing
+		missing := choice.MissingTokens
 		if rng.IntN(7) == 0 {
 			missing = rng.Int64N(14000)
 		}
@@ -103,13 +103,13 @@
 		trueCost := func(load int, missing int64) time.Duration {
 			return time.Duration(load)*slot + time.Duration(2*float64(1+load)*float64(missing)/rate*float64(time.Millisecond))
 		}
-		best := trueCost(loads[chosen.Endpoint().ID], chosen.Missing)
+		best := trueCost(loads[chosen.Endpoint().ID], chosen.MissingTokens)
 		cost += best
 		chosen.Done(balance.OutcomeRefused)
 		for _, endpoint := range endpoints {
 			other := picker.Pick(endpoints, request, func(id string) bool { return id != endpoint.ID })
 			if endpoint.ID != chosen.Endpoint().ID {
-				best = min(best, trueCost(loads[endpoint.ID], other.Missing))
+				best = min(best, trueCost(loads[endpoint.ID], other.MissingTokens))
 			}
 			other.Done(balance.OutcomeRefused)
 		}
--- a/balance/prefixes.go
+++ b/balance/prefixes.go
@@ -95,7 +95,8 @@
 		prefixes.halve()
 	}
 	// A candidate list is never modified but replaced by a new one, so
-	// comparing the address of its first element is sufficient.
+	// comparing its length and the address of its first element is
+	// sufficient.
 	if len(prefix.candidates) != len(candidates) || &prefix.candidates[0] != &candidates[0] {
 		prefix.rank(segment.ID, candidates)
 	}
