--- a/retry/budget.go
+++ b/retry/budget.go
@@ -9,8 +9,8 @@
 	"time"
 )
 
-// Budget allows retries up to a share of the calls made, plus a reserve that
-// accumulates when there are few retries. It is safe for concurrent use. The zero
+// Budget allows retries up to a share of the calls made, plus a reserve for
+// times with few calls. It is safe for concurrent use. The zero
 // value allows none; call NewBudget.
 type Budget struct {
 	mu        sync.Mutex
