--- a/admission/window.go
+++ b/admission/window.go
@@ -12,8 +12,8 @@
 	// 20 ms are distributed by load reports that are older than the calls take,
 	// which requires a queue of one or two for each slot at full utilisation.
 	// With a lower limit requests wait longer at instances that have more
-	// callers than others, while slots are free: at 80 ms for turns of half a second, fleets
-	// of eight instances lost a tenth of their worth in a burst.
+	// callers than others, while slots are free: at 80 ms for turns of half a
+	// second, fleets of eight instances lost a tenth of their worth in a burst.
 	minDelayLimit    = 40 * time.Millisecond
 	delayLimitFactor = 0.35
 	// meanDelayWeight is the weight of one response in the mean wait. It is low
--- a/retry/budget.go
+++ b/retry/budget.go
@@ -10,8 +10,8 @@
 )
 
 // Budget allows retries up to a share of the calls made, plus a reserve for
-// times with few calls. It is safe for concurrent use. The zero
-// value allows none; call NewBudget.
+// times with few calls. It is safe for concurrent use. The zero value allows
+// none; call NewBudget.
 type Budget struct {
 	mu        sync.Mutex
 	ratio     float64
