--- a/balance/fleet_test.go
+++ b/balance/fleet_test.go
@@ -250,7 +250,7 @@
 	turn.ends = play.now + prefillTime + time.Duration(float64(turn.output)*modelDecodeTime*float64(time.Millisecond))
 	play.at(prefillTime+9*time.Millisecond, func() {
 		turn.choice.Answered()
-		turn.choice.Told(balance.Load{Running: len(e.running), Waiting: len(e.waiting), Slots: modelSlots})
+		turn.choice.ReportLoad(balance.Load{Running: len(e.running), Waiting: len(e.waiting), Slots: modelSlots})
 		if play.measuring() {
 			play.waits = append(play.waits, play.now-turn.sent)
 		}
--- a/balance/picker.go
+++ b/balance/picker.go
@@ -288,8 +288,8 @@
 	picker.state(incarnation).cache.record(segment, picker.clock.Now())
 }
 
-// ReportedLoad records the load that the endpoint reported while it had the request.
-func (choice *Choice) Told(load Load) {
+// ReportLoad records the load that the endpoint reported while it had the request.
+func (choice *Choice) ReportLoad(load Load) {
 	picker := choice.picker
 	picker.mu.Lock()
 	defer picker.mu.Unlock()
--- a/balance/picker_test.go
+++ b/balance/picker_test.go
@@ -160,7 +160,7 @@
 	endpoints := fleet(2, "a")
 	request := &balance.Request{DataCentre: "a"}
 	choice := picker.Pick(endpoints, request, func(id string) bool { return id != "a-0" })
-	choice.Told(balance.Load{Running: 12, Waiting: 6, Slots: 12})
+	choice.ReportLoad(balance.Load{Running: 12, Waiting: 6, Slots: 12})
 	choice.Done(balance.OutcomeServed)
 	for range 5 {
 		assert.Equal(t, "a-1", picker.Pick(endpoints, request, skipNone).Endpoint().ID)
--- a/gateway/dispatch.go
+++ b/gateway/dispatch.go
@@ -90,7 +90,7 @@
 	defer response.Close()
 	verdict := e.Dialect.Verdict(response.Status, response.Header)
 	if verdict.Load != nil {
-		choice.Told(*verdict.Load)
+		choice.ReportLoad(*verdict.Load)
 	}
 	e.serviceQueue.recordResponse(verdict)
 	switch {
