--- a/store/doc.go
+++ b/store/doc.go
@@ -1,5 +1,5 @@
-// Package store says what the product needs of the durable, transactional
-// table store that all entry instances share: conditional transactions over
-// rows, reads as of one moment, and a feed of changes. It does no input or
-// output; an adapter implements Store.
+// Package store defines the interface to the durable, transactional table
+// store that all entry instances share: conditional transactions over rows,
+// consistent reads, and a feed of changes. The package performs no input or
+// output of its own; adapters implement Store.
 package store
--- a/store/errors.go
+++ b/store/errors.go
@@ -5,33 +5,37 @@
 	"fmt"
 )
 
-// Failure is the kind of a failed call.
+// Failure is the kind of failure of a call to the store.
 type Failure int
 
 //go:generate stringer -type=Failure -trimprefix=Failure
 
-// Failures of a call to the store.
+// The kinds of failure of a call to the store.
 const (
-	// FailureUnanswered: the call was sent and no whole answer came. A
-	// write may have been applied, or may be applied seconds later if its
-	// conditions still hold.
+	// FailureUnanswered means that the call was sent and no complete response
+	// arrived. A write may have been applied, or may be applied seconds later
+	// if its conditions still hold.
 	FailureUnanswered Failure = iota
-	// FailureUnreachable: the call never left this process.
+	// FailureUnreachable means that the call never left this process.
 	FailureUnreachable
-	// FailureRefused: the store said that it did nothing.
+	// FailureRefused means that the store, or a Guard before it, rejected the
+	// call; nothing was done.
 	FailureRefused
-	// FailureThrottled: refused for coming too fast; nothing was done.
+	// FailureThrottled means that the store rejected the call because of its
+	// rate limit; nothing was done.
 	FailureThrottled
-	// FailureConflict: a condition did not hold; nothing was done.
+	// FailureConflict means that a condition of the transaction did not hold;
+	// nothing was done.
 	FailureConflict
-	// FailureCompacted: the history asked for is gone; read the whole.
+	// FailureCompacted means that the requested part of the change history has
+	// been compacted; the caller must read the full table instead.
 	FailureCompacted
-	// FailureInvalid: the store called the request wrong, or its answer
-	// could not be decoded.
+	// FailureInvalid means that the store rejected the request as malformed,
+	// or that its response could not be decoded.
 	FailureInvalid
 )
 
-// Error is a failed call to the store.
+// Error is the error of a failed call to the store.
 type Error struct {
 	failure Failure
 	op      string
@@ -39,13 +43,13 @@
 	rows    []Row
 }
 
-// NewError returns an error of a call named op.
+// NewError returns an Error for the operation op.
 func NewError(failure Failure, op, detail string) *Error {
 	return &Error{failure: failure, op: op, detail: detail}
 }
 
-// NewConflict returns the failure of a transaction whose conditions did not
-// hold, with the rows that stand in their place.
+// NewConflict returns the error of a transaction whose conditions did not
+// hold. The rows are the current versions of those named in its conditions.
 func NewConflict(op string, rows []Row) *Error {
 	return &Error{failure: FailureConflict, op: op, rows: rows}
 }
@@ -53,10 +57,11 @@
 // Failure returns the kind of failure.
 func (e *Error) Failure() Failure { return e.failure }
 
-// Rows returns, for a conflict, the rows named in conditions as they are.
+// Rows returns the current rows named in the conditions of the transaction if
+// the failure is a conflict, else nil.
 func (e *Error) Rows() []Row { return e.rows }
 
-// Error returns "store OP: FAILURE: DETAIL".
+// Error returns "store OP: FAILURE: DETAIL", without the detail if it is empty.
 func (e *Error) Error() string {
 	if e.detail == "" {
 		return fmt.Sprintf("store %s: %s", e.op, e.failure)
@@ -66,18 +71,19 @@
 
 // Is reports whether err is an *Error of the given kind.
 func Is(err error, failure Failure) bool {
-	var se *Error
-	return errors.As(err, &se) && se.failure == failure
+	var storeErr *Error
+	return errors.As(err, &storeErr) && storeErr.failure == failure
 }
 
-// Unserved reports whether err says that the store did not serve the call,
-// or that its answer was lost: another way to the store may do better.
+// Unserved reports whether err means that the store did not serve the call or
+// that its response was lost. The call may succeed through another route to the
+// store.
 func Unserved(err error) bool {
-	var se *Error
-	if !errors.As(err, &se) {
+	var storeErr *Error
+	if !errors.As(err, &storeErr) {
 		return false
 	}
-	switch se.failure {
+	switch storeErr.failure {
 	case FailureUnanswered, FailureUnreachable, FailureRefused, FailureThrottled:
 		return true
 	}
--- a/store/guard.go
+++ b/store/guard.go
@@ -11,119 +11,132 @@
 )
 
 const (
-	// guardFailures in a row, and the store counts as away. One may be a
-	// connection that went silent.
-	guardFailures = 3
-	// wholeFailures in a row, in any partitions, with no answer for
-	// wholeSilence, and the whole store counts as away. With a third of the
-	// partitions away, those that wait for them call again and again; but an
-	// instance with work hears from the others ten times a second.
-	wholeFailures = 6
-	wholeSilence  = 400 * time.Millisecond
-	// silentCall is how long a call must have waited to count as unanswered
-	// though its caller gave it up. A slow store answers in a quarter of a
-	// second; other instances wait 600 ms for a call made for them, and callers
-	// of streams two seconds.
-	silentCall = 500 * time.Millisecond
-	// slowCall is how late a call is answered, or how long none is, and the store
-	// counts as slow for slowTime: it answers in 4 ms, and in some 20 when many
-	// write at once.
-	slowCall = 100 * time.Millisecond
-	slowTime = time.Second
-	// probeInterval is how often a store that is away is tried, probeTimeout
-	// how long each try waits. While the whole store is away and a try has no
-	// answer, the next begins after probeSpacing: a store that was silent never
-	// answers the tries of before, and each caller that waits for it waits for the
-	// try after its return. Partitions are tried all at once, one try at a time: 34
-	// of 96 that are silent, five times a second by 31 instances, would be 5,000
-	// calls a second, where the store serves 2,000.
-	probeInterval = 100 * time.Millisecond
-	probeSpacing  = 200 * time.Millisecond
-	probeTimeout  = time.Second
-	// probedTable is what is read to try a store; it need not exist.
-	probedTable = "probe"
+	// partitionFailureThreshold is the number of consecutive failures after
+	// which a partition counts as unavailable. A single failure may come from
+	// one stale connection.
+	partitionFailureThreshold = 3
+	// storeFailureThreshold is the number of consecutive failures, in any
+	// partitions and with no response for storeSilenceThreshold, after which the
+	// complete store counts as unavailable. While a third of the partitions is
+	// unavailable, callers that wait for them retry continuously and would reach
+	// the count alone; the other partitions, however, respond ten times a second
+	// to an instance with work.
+	storeFailureThreshold = 6
+	storeSilenceThreshold = 400 * time.Millisecond
+	// unansweredThreshold is how long a call that its caller cancelled must have
+	// waited to count as unanswered. A slow store responds within 250 ms; other
+	// instances wait 600 ms for a call relayed through this one, and callers of
+	// streams two seconds.
+	unansweredThreshold = 500 * time.Millisecond
+	// slowThreshold is the latency of a call, or the time without a response to
+	// any call, from which the store counts as slow. It then counts as slow for
+	// slowPeriod after such a response. The store usually responds in 4 ms, and
+	// in about 20 ms during many concurrent writes.
+	slowThreshold = 100 * time.Millisecond
+	slowPeriod    = time.Second
+	// probeInterval is the interval between probes of an unavailable store, and
+	// probeTimeout the timeout of each. While the complete store is unavailable
+	// and a probe is pending, the next one starts after
+	// overlappingProbeInterval: a silent store never responds to probes sent
+	// before its recovery, so callers wait for the first probe sent after it.
+	// Probes of partitions don't overlap and cover all unavailable
+	// partitions at once: 34 silent partitions of 96, probed five times a second
+	// by 31 instances, would be 5,000 calls a second, and the store serves
+	// 2,000.
+	probeInterval            = 100 * time.Millisecond
+	overlappingProbeInterval = 200 * time.Millisecond
+	probeTimeout             = time.Second
+	// probeTable is the table read by a probe; it need not exist.
+	probeTable = "probe"
 )
 
-// AllPartitions names the store as a whole where a Guard tells a partition.
+// AllPartitions stands for the complete store where a Guard reports the name
+// of a partition.
 const AllPartitions = "all"
 
-// Guard is a Store that answers at once while the store behind it is away,
-// so that a request that needs it can be turned away while its caller has
-// time left to come back, and the store is not pressed while it recovers.
-// Requests are not used to find out whether it is back, since the one that
-// does would wait: Run does that.
+// Guard is a Store that rejects calls immediately while the store behind it is
+// unavailable. Requests that need the store can then be rejected while their
+// callers still have time to retry, and the store receives little load while it
+// recovers. Guard doesn't use requests to detect the recovery, because such a
+// request would have to wait; Run probes the store instead.
 type Guard struct {
-	store  Store
-	change func(partition string, away bool, err error)
+	store    Store
+	onChange func(partition string, unavailable bool, err error)
 
-	mu       sync.Mutex
-	whole    health
-	answered time.Time // when the store last answered
-	returned time.Time // when the whole store was last found back
-	// pending calls wait for an answer; since unserved, if it is set, calls were
-	// made and none was served. late is when one was last served after slowCall.
-	pending    int
-	unserved   time.Time
-	late       time.Time
-	partitions map[string]*health
-	// watches in progress are ended when the store is found away: they were
-	// begun before, and would wait for news that cannot come.
-	watches map[uint64]context.CancelFunc
-	watched uint64
+	mu           sync.Mutex
+	overall      health
+	lastResponse time.Time // when the store last responded
+	recoveredAt  time.Time // when the complete store was last found available again
+	// pending is the number of calls without a result. unserved, if not zero, is
+	// the time since which calls were made and none was served.
+	// lastSlowResponse is when the last response arrived that took slowThreshold
+	// or longer.
+	pending          int
+	unserved         time.Time
+	lastSlowResponse time.Time
+	partitions       map[string]*health
+	// watchCancels holds the cancel functions of the watches in progress, by
+	// watch ID. Watches are cancelled when the store is found unavailable,
+	// because they would wait for changes that cannot arrive.
+	watchCancels map[uint64]context.CancelFunc
+	lastWatchID  uint64
 }
 
-// health is what is known of one partition of the store: a part of them may
-// be away while the others are served.
+// health holds the consecutive failures and the last response of one
+// partition, or of all partitions together. Some partitions may be unavailable
+// while the others are served.
 type health struct {
-	failures int
-	answered time.Time
+	failures     int
+	lastResponse time.Time
 }
 
-// NewGuard returns a guard before s; Run must run. It calls change each time that the
-// store is found to be away or back.
-func NewGuard(s Store, change func(partition string, away bool, err error)) *Guard {
-	return &Guard{store: s, change: change, partitions: map[string]*health{}, watches: map[uint64]context.CancelFunc{}}
+// NewGuard returns a Guard for s; the caller must start Run. The guard calls
+// onChange each time a partition, or AllPartitions, becomes unavailable or
+// available again, with the result of the call that caused the change.
+func NewGuard(s Store, onChange func(partition string, unavailable bool, err error)) *Guard {
+	return &Guard{store: s, onChange: onChange, partitions: map[string]*health{}, watchCancels: map[uint64]context.CancelFunc{}}
 }
 
-// Away reports whether the store does not answer for a partition.
+// Away reports whether a partition, or the complete store, is unavailable.
 func (guard *Guard) Away(partition string) bool {
 	guard.mu.Lock()
 	defer guard.mu.Unlock()
-	return guard.health(partition).failures >= guardFailures || guard.whole.failures >= wholeFailures
+	return guard.health(partition).failures >= partitionFailureThreshold || guard.overall.failures >= storeFailureThreshold
 }
 
-// WholeAway reports whether no partition answers.
+// WholeAway reports whether the complete store is unavailable.
 func (guard *Guard) WholeAway() bool {
 	guard.mu.Lock()
 	defer guard.mu.Unlock()
-	return guard.whole.failures >= wholeFailures
+	return guard.overall.failures >= storeFailureThreshold
 }
 
-// AnsweredSince reports whether the store answered any call that ended after t.
+// AnsweredSince reports whether the store responded to any call after t.
 func (guard *Guard) AnsweredSince(t time.Time) bool {
 	guard.mu.Lock()
 	defer guard.mu.Unlock()
-	return guard.answered.After(t)
+	return guard.lastResponse.After(t)
 }
 
-// Slow reports whether the store serves calls later than usual, or none for the
-// moment. It tells so much earlier than Away, and of a store that is only slow.
+// Slow reports whether calls take longer than usual or currently receive no
+// response. It detects an outage much earlier than Away, and also detects a
+// store that is slow but available.
 func (guard *Guard) Slow() bool {
 	guard.mu.Lock()
 	defer guard.mu.Unlock()
 	now := time.Now()
-	return !guard.unserved.IsZero() && now.Sub(guard.unserved) >= slowCall || now.Sub(guard.late) < slowTime
+	return !guard.unserved.IsZero() && now.Sub(guard.unserved) >= slowThreshold || now.Sub(guard.lastSlowResponse) < slowPeriod
 }
 
-// begin notes a call.
-func (guard *Guard) begin() time.Time {
+// recordStart records the start of a call and returns its time.
+func (guard *Guard) recordStart() time.Time {
 	guard.mu.Lock()
 	defer guard.mu.Unlock()
-	return guard.beginLocked()
+	return guard.recordStartLocked()
 }
 
-// beginLocked is begin for a caller that holds mu.
-func (guard *Guard) beginLocked() time.Time {
+// recordStartLocked is recordStart for a caller that holds mu.
+func (guard *Guard) recordStartLocked() time.Time {
 	now := time.Now()
 	guard.pending++
 	if guard.unserved.IsZero() {
@@ -132,27 +145,28 @@
 	return now
 }
 
-// end takes in whether a call that began then was served. One that its caller
-// gave up says nothing.
-func (guard *Guard) end(began time.Time, unserved, givenUp bool) {
+// recordEnd records the end of a call that started at started, and whether it
+// was unserved. A call that its caller abandoned early is not evidence for
+// either state of the store.
+func (guard *Guard) recordEnd(started time.Time, unserved, abandoned bool) {
 	guard.mu.Lock()
 	defer guard.mu.Unlock()
 	now := time.Now()
 	guard.pending--
 	switch {
-	case unserved && !givenUp:
+	case unserved && !abandoned:
 	case !unserved && guard.pending > 0:
 		guard.unserved = now
 	case guard.pending == 0:
 		guard.unserved = time.Time{}
 	}
-	if !unserved && now.Sub(began) >= slowCall {
-		guard.late = now
+	if !unserved && now.Sub(started) >= slowThreshold {
+		guard.lastSlowResponse = now
 	}
 }
 
-// health returns the state of a partition. The caller holds mu. Partitions
-// are few: the product's own tables have a fixed number each.
+// health returns the state of a partition. The caller holds mu. The map stays
+// small, since each table has a fixed number of partitions.
 func (guard *Guard) health(partition string) *health {
 	state, ok := guard.partitions[partition]
 	if !ok {
@@ -162,82 +176,87 @@
 	return state
 }
 
-// Commit implements Store.
+// Commit implements Store. It fails with FailureRefused without calling the store
+// while the partition is unavailable.
 func (guard *Guard) Commit(ctx context.Context, tx Transaction) (uint64, error) {
 	partition := tx.partition()
-	began, err := guard.enter("commit", partition)
+	started, err := guard.admit("commit", partition)
 	if err != nil {
 		return 0, err
 	}
 	version, err := guard.store.Commit(ctx, tx)
-	guard.leaveCall(ctx, began, partition, err)
+	guard.finishCall(ctx, started, partition, err)
 	return version, err
 }
 
-// Read implements Store.
+// Read implements Store. It fails with FailureRefused without calling the store
+// while the partition is unavailable.
 func (guard *Guard) Read(ctx context.Context, r Range) (Page, error) {
-	began, err := guard.enter("read", r.Partition)
+	started, err := guard.admit("read", r.Partition)
 	if err != nil {
 		return Page{}, err
 	}
 	page, err := guard.store.Read(ctx, r)
-	guard.leaveCall(ctx, began, r.Partition, err)
+	guard.finishCall(ctx, started, r.Partition, err)
 	return page, err
 }
 
-// Watch implements Store. It is not held back: whoever watches waits
-// between failures.
+// Watch implements Store. It calls the store even while the store is
+// unavailable, because callers of Watch wait between failures.
 func (guard *Guard) Watch(ctx context.Context, table string, after uint64, wait time.Duration) (Page, error) {
-	limited, end := guard.watching(ctx)
-	defer end()
-	began := time.Now()
-	page, err := guard.store.Watch(limited, table, after, wait)
-	// However long it waited: a watch waits for news, not for an answer.
-	if !errors.Is(limited.Err(), context.Canceled) || !Unserved(err) {
-		guard.leave("", began, err)
+	callCtx, stop := guard.watchContext(ctx)
+	defer stop()
+	started := time.Now()
+	page, err := guard.store.Watch(callCtx, table, after, wait)
+	// The duration is irrelevant: a watch waits for changes, not for a response.
+	if !errors.Is(callCtx.Err(), context.Canceled) || !Unserved(err) {
+		guard.recordResult("", started, err)
 	}
 	return page, err
 }
 
-// watching returns a context that ends when the store is found away.
-func (guard *Guard) watching(ctx context.Context) (context.Context, func()) {
-	limited, cancel := context.WithCancel(ctx)
+// watchContext returns a context that is cancelled when the store is found
+// unavailable, and the function that releases it.
+func (guard *Guard) watchContext(ctx context.Context) (context.Context, func()) {
+	callCtx, cancel := context.WithCancel(ctx)
 	guard.mu.Lock()
 	defer guard.mu.Unlock()
-	guard.watched++
-	id := guard.watched
-	guard.watches[id] = cancel
-	return limited, func() {
+	guard.lastWatchID++
+	id := guard.lastWatchID
+	guard.watchCancels[id] = cancel
+	return callCtx, func() {
 		guard.mu.Lock()
 		defer guard.mu.Unlock()
-		delete(guard.watches, id)
+		delete(guard.watchCancels, id)
 		cancel()
 	}
 }
 
-// enter returns when a call to a partition began, or the error of one that is
-// away.
-func (guard *Guard) enter(op, partition string) (time.Time, error) {
+// admit records the start of a call to a partition and returns its time, or
+// fails with FailureRefused if the partition or the complete store is
+// unavailable.
+func (guard *Guard) admit(op, partition string) (time.Time, error) {
 	guard.mu.Lock()
 	defer guard.mu.Unlock()
-	if guard.whole.failures < wholeFailures && guard.health(partition).failures < guardFailures {
-		return guard.beginLocked(), nil
+	if guard.overall.failures < storeFailureThreshold && guard.health(partition).failures < partitionFailureThreshold {
+		return guard.recordStartLocked(), nil
 	}
-	return time.Time{}, NewError(FailureRefused, op, "the store is away")
+	return time.Time{}, NewError(FailureRefused, op, "store unavailable; call not sent")
 }
 
-// Run tries what is away until ctx ends, then reports on done.
+// Run probes unavailable partitions until ctx ends and all probes have
+// returned, then sends the result to done.
 func (guard *Guard) Run(ctx context.Context, done chan<- error) {
 	var probes sync.WaitGroup
 	var pending atomic.Int32
-	var last time.Time
+	var lastProbe time.Time
 	ended := make(chan error, 1)
 	clock.Every(ctx, probeInterval, func(now time.Time) {
-		isEarly := !guard.WholeAway() || now.Sub(last) < probeSpacing
-		if len(guard.toProbe()) == 0 || pending.Load() > 0 && isEarly {
+		isEarly := !guard.WholeAway() || now.Sub(lastProbe) < overlappingProbeInterval
+		if len(guard.probeTargets()) == 0 || pending.Load() > 0 && isEarly {
 			return
 		}
-		last = now
+		lastProbe = now
 		pending.Add(1)
 		probes.Go(func() {
 			defer pending.Add(-1)
@@ -248,90 +267,95 @@
 	done <- <-ended
 }
 
-// Probe tries each partition that is away once, or any one if all are.
+// Probe reads once from each unavailable partition, or from any one if the
+// complete store is unavailable, and returns when all reads have ended.
 func (guard *Guard) Probe(ctx context.Context) {
-	var tries sync.WaitGroup
-	for _, partition := range guard.toProbe() {
-		tries.Go(func() {
-			limited, cancel := context.WithTimeout(ctx, probeTimeout)
+	var probes sync.WaitGroup
+	for _, partition := range guard.probeTargets() {
+		probes.Go(func() {
+			callCtx, cancel := context.WithTimeout(ctx, probeTimeout)
 			defer cancel()
-			began := guard.begin()
-			_, err := guard.store.Read(limited, Range{Table: probedTable, Partition: partition, Limit: 1})
-			guard.leaveCall(limited, began, partition, err)
+			started := guard.recordStart()
+			_, err := guard.store.Read(callCtx, Range{Table: probeTable, Partition: partition, Limit: 1})
+			guard.finishCall(callCtx, started, partition, err)
 		})
 	}
-	tries.Wait()
+	probes.Wait()
 }
 
-func (guard *Guard) toProbe() []string {
+// probeTargets returns the partitions to probe: the unavailable ones, or any
+// one if the complete store is unavailable.
+func (guard *Guard) probeTargets() []string {
 	guard.mu.Lock()
 	defer guard.mu.Unlock()
-	var away []string
+	var unavailable []string
 	for partition, state := range guard.partitions {
-		if state.failures >= guardFailures || guard.whole.failures >= wholeFailures {
-			away = append(away, partition)
+		if state.failures >= partitionFailureThreshold || guard.overall.failures >= storeFailureThreshold {
+			unavailable = append(unavailable, partition)
 		}
 	}
-	if guard.whole.failures >= wholeFailures && len(away) > 0 {
-		return away[:1]
+	if guard.overall.failures >= storeFailureThreshold && len(unavailable) > 0 {
+		return unavailable[:1]
 	}
-	return away
+	return unavailable
 }
 
-// leaveCall takes in how a call that began then ended. One that its caller soon
-// gave up says nothing; one that was not answered in its time does.
-func (guard *Guard) leaveCall(ctx context.Context, began time.Time, partition string, err error) {
-	givenUp := Unserved(err) && errors.Is(ctx.Err(), context.Canceled) && time.Since(began) < silentCall
-	guard.end(began, Unserved(err), givenUp)
-	if !givenUp {
-		guard.leave(partition, began, err)
+// finishCall records the result of a call to a partition. A call that its
+// caller cancelled within unansweredThreshold is ignored; a call that waited
+// longer counts as a failure.
+func (guard *Guard) finishCall(ctx context.Context, started time.Time, partition string, err error) {
+	abandoned := Unserved(err) && errors.Is(ctx.Err(), context.Canceled) && time.Since(started) < unansweredThreshold
+	guard.recordEnd(started, Unserved(err), abandoned)
+	if !abandoned {
+		guard.recordResult(partition, started, err)
 	}
 }
 
-// leave takes in what a call to a partition came to that began then. One without
-// an answer says nothing if the store was found back, or the partition served
-// another one, since.
-func (guard *Guard) leave(partition string, began time.Time, err error) {
+// recordResult records the result of a call that started at started. A failure
+// is ignored if, since the start of the call, the complete store was found
+// available again or the partition served another call.
+func (guard *Guard) recordResult(partition string, started time.Time, err error) {
 	failed := Unserved(err)
 	guard.mu.Lock()
 	state := guard.health(partition)
-	if failed && (began.Before(state.answered) || began.Before(guard.returned)) {
+	if failed && (started.Before(state.lastResponse) || started.Before(guard.recoveredAt)) {
 		guard.mu.Unlock()
 		return
 	}
-	was, wasWhole := state.failures >= guardFailures, guard.whole.failures >= wholeFailures
+	wasUnavailable, wasAllUnavailable := state.failures >= partitionFailureThreshold, guard.overall.failures >= storeFailureThreshold
 	now := time.Now()
 	if failed {
-		// A partition that is known to be away, and is tried again and
-		// again, says nothing of the others.
-		// Short of the last step the count goes on at once; the last waits
-		// until nothing was heard for wholeSilence.
-		silent := now.Sub(guard.answered) >= wholeSilence
-		if !was && (silent || guard.whole.failures < wholeFailures-1) {
-			guard.whole.failures++
+		// Probes of a partition already known to be unavailable say nothing
+		// about the other partitions and don't count for the complete
+		// store. The last failure before the threshold counts only after
+		// storeSilenceThreshold without a response.
+		noResponse := now.Sub(guard.lastResponse) >= storeSilenceThreshold
+		if !wasUnavailable && (noResponse || guard.overall.failures < storeFailureThreshold-1) {
+			guard.overall.failures++
 		}
 		state.failures++
 	} else {
-		state.failures, guard.whole.failures = 0, 0
-		state.answered, guard.answered = now, now
+		state.failures, guard.overall.failures = 0, 0
+		state.lastResponse, guard.lastResponse = now, now
 	}
-	is, isWhole := state.failures >= guardFailures, guard.whole.failures >= wholeFailures
+	isUnavailable, isAllUnavailable := state.failures >= partitionFailureThreshold, guard.overall.failures >= storeFailureThreshold
 	switch {
-	case isWhole && !wasWhole:
-		for _, cancel := range guard.watches {
+	case isAllUnavailable && !wasAllUnavailable:
+		for _, cancel := range guard.watchCancels {
 			cancel()
 		}
-	case wasWhole && !isWhole:
-		// What was found out of single partitions is from the outage: left
-		// standing, their refusals would have the whole store away again.
+	case wasAllUnavailable && !isAllUnavailable:
+		// The state of single partitions dates from the outage. If it stayed,
+		// rejections by it would count as failures of the complete store and
+		// make it unavailable again.
 		clear(guard.partitions)
-		guard.returned = now
+		guard.recoveredAt = now
 	}
 	guard.mu.Unlock()
 	switch {
-	case wasWhole != isWhole:
-		guard.change(AllPartitions, isWhole, err)
-	case was != is && !isWhole:
-		guard.change(partition, is, err)
+	case wasAllUnavailable != isAllUnavailable:
+		guard.onChange(AllPartitions, isAllUnavailable, err)
+	case wasUnavailable != isUnavailable && !isAllUnavailable:
+		guard.onChange(partition, isUnavailable, err)
 	}
 }
--- a/store/guard_test.go
+++ b/store/guard_test.go
@@ -17,14 +17,14 @@
 	"github.com/wagtaildrum/wagtaildrum/store/storetest"
 )
 
-func in(partition string) store.Transaction {
+func putIn(partition string) store.Transaction {
 	return store.Transaction{Puts: []store.Put{{Key: store.Key{Table: "t", Partition: partition, Name: "a"}, Value: []byte("v")}}}
 }
 
-// Symptom: all turns are refused while two thirds of the store's partitions
-// are served. Events: a third of the partitions go away. Cause: failures
-// were counted for the store as a whole.
-func TestGuardKeepsPartitionsApart(t *testing.T) {
+// Guards against rejecting all turns while two thirds of the partitions are
+// served. It happened when a third of the partitions became unavailable,
+// because failures were counted only for the complete store.
+func TestGuardTracksPartitionsSeparately(t *testing.T) {
 	ctx := context.Background()
 	memory := storetest.New()
 	guard := store.NewGuard(memory, func(string, bool, error) {})
@@ -37,12 +37,12 @@
 		return storetest.None
 	})
 	for range 20 {
-		_, err := guard.Commit(ctx, in("p1"))
+		_, err := guard.Commit(ctx, putIn("p1"))
 		assert.True(t, store.Is(err, store.FailureRefused))
-		_, err = guard.Commit(ctx, in("p2"))
+		_, err = guard.Commit(ctx, putIn("p2"))
 		require.NoError(t, err)
 	}
-	assert.Equal(t, 3, calls, "what it takes to find out")
+	assert.Equal(t, 3, calls, "calls until the partition counts as unavailable")
 	assert.True(t, guard.Away("p1"))
 	assert.False(t, guard.Away("p2"))
 	guard.Probe(ctx)
@@ -51,68 +51,68 @@
 	memory.SetFault(func(string, string) storetest.Fault { return storetest.None })
 	guard.Probe(ctx)
 	assert.False(t, guard.Away("p1"))
-	_, err := guard.Commit(ctx, in("p1"))
+	_, err := guard.Commit(ctx, putIn("p1"))
 	require.NoError(t, err)
 }
 
-func TestGuardFindsWholeStoreAway(t *testing.T) {
+func TestGuardReportsStoreUnavailable(t *testing.T) {
 	ctx := context.Background()
 	memory := storetest.New()
-	var told []string
-	guard := store.NewGuard(memory, func(partition string, away bool, _ error) {
-		if away {
-			told = append(told, partition)
+	var reported []string
+	guard := store.NewGuard(memory, func(partition string, unavailable bool, _ error) {
+		if unavailable {
+			reported = append(reported, partition)
 		}
 	})
 	memory.SetFault(func(string, string) storetest.Fault { return storetest.Refuse })
 	for _, partition := range []string{"a", "b", "c", "d", "e", "f", "g"} {
-		_, _ = guard.Commit(ctx, in(partition)) // refused
+		_, _ = guard.Commit(ctx, putIn(partition)) // refused
 	}
 	assert.True(t, guard.WholeAway())
 	assert.True(t, guard.Away("never called"))
-	assert.Equal(t, []string{"all"}, told)
-	gone, cancel := context.WithCancel(ctx)
+	assert.Equal(t, []string{"all"}, reported)
+	cancelled, cancel := context.WithCancel(ctx)
 	cancel()
 	memory.SetFault(func(string, string) storetest.Fault { return storetest.None })
-	fresh := store.NewGuard(memory, func(string, bool, error) {})
+	second := store.NewGuard(memory, func(string, bool, error) {})
 	memory.SetFault(func(string, string) storetest.Fault { return storetest.LoseAnswer })
 	for range 10 {
-		_, _ = fresh.Commit(gone, in("a")) // given up by its caller
+		_, _ = second.Commit(cancelled, putIn("a")) // cancelled by its caller
 	}
-	assert.False(t, fresh.WholeAway(), "a call that its caller gave up says nothing")
+	assert.False(t, second.WholeAway(), "calls cancelled by their caller are ignored")
 }
 
-// A partition that is silent is never found away, since all who call it leave
-// before their calls end.
-func TestSilentPartitionIsFoundAwayThoughCallersLeave(t *testing.T) {
+// Guards against a silent partition that never counts as unavailable because
+// all callers cancel their calls before the calls end.
+func TestGuardCountsUnansweredCallsThatCallersCancel(t *testing.T) {
 	for _, test := range []struct {
-		name  string
-		leave time.Duration
-		away  bool
+		name        string
+		cancelAfter time.Duration
+		unavailable bool
 	}{
-		{"another instance gives up its relayed call", 600 * time.Millisecond, true},
-		{"caller of a stream leaves", 2 * time.Second, true},
-		{"caller leaves before a slow store answers", 250 * time.Millisecond, false},
+		{"requesting instance cancels its relayed call", 600 * time.Millisecond, true},
+		{"caller of a stream cancels the call", 2 * time.Second, true},
+		{"caller cancels before a slow store responds", 250 * time.Millisecond, false},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				guard := store.NewGuard(&slowStore{Store: storetest.New(), lose: 1000}, func(string, bool, error) {})
 				for range 4 {
 					ctx, cancel := context.WithCancel(context.Background())
-					time.AfterFunc(test.leave, cancel)
-					_, err := guard.Commit(ctx, in("a"))
+					time.AfterFunc(test.cancelAfter, cancel)
+					_, err := guard.Commit(ctx, putIn("a"))
 					require.Error(t, err)
 				}
-				assert.Equal(t, test.away, guard.Away("a"))
-				assert.False(t, guard.WholeAway(), "one partition says nothing of the others")
+				assert.Equal(t, test.unavailable, guard.Away("a"))
+				assert.False(t, guard.WholeAway(), "one partition doesn't count for the others")
 			})
 		})
 	}
 }
 
-// A feed that is watched for long has the store taken for away when its watcher
-// ends.
-func TestEndedWatchSaysNothingOfStore(t *testing.T) {
+// Guards against counting the store as unavailable when callers cancel watches
+// that have been open for long.
+func TestGuardIgnoresCancelledWatch(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		guard := store.NewGuard(storetest.New(), func(string, bool, error) {})
 		for range 10 {
@@ -126,34 +126,34 @@
 	})
 }
 
-// Symptom: for half a second after an outage the store is taken for away
-// again and again. Events: all partitions fail; the store returns; the first
-// answer comes from one of them. Cause: the others stayed away until each
-// was tried, and their refusals counted for the whole.
-func TestReturnOfWholeStoreIsForAllPartitions(t *testing.T) {
+// Guards against a store that becomes unavailable several more times in the half
+// second after an outage of all partitions. The first response came from one
+// partition while the others stayed unavailable until each was probed, and their
+// rejections counted as failures of the complete store.
+func TestGuardRecoveryAppliesToAllPartitions(t *testing.T) {
 	ctx := context.Background()
 	memory := storetest.New()
 	guard := store.NewGuard(memory, func(string, bool, error) {})
 	memory.SetFault(func(string, string) storetest.Fault { return storetest.Refuse })
 	for range 5 {
 		for _, partition := range []string{"a", "b", "c"} {
-			_, _ = guard.Commit(ctx, in(partition)) // refused
+			_, _ = guard.Commit(ctx, putIn(partition)) // refused
 		}
 	}
 	require.True(t, guard.WholeAway())
 	memory.SetFault(func(string, string) storetest.Fault { return storetest.None })
 	guard.Probe(ctx)
 	for _, partition := range []string{"a", "b", "c"} {
-		_, err := guard.Commit(ctx, in(partition))
+		_, err := guard.Commit(ctx, putIn(partition))
 		assert.NoError(t, err, partition)
 	}
 }
 
-// Symptom: with a third of the partitions away the whole store is taken for
-// away every second. Events: what is away is tried ten times a second, with
-// no call to another partition in between. Cause: each try counted for the
-// whole.
-func TestTriesOfPartitionsAwayDoNotCountForWhole(t *testing.T) {
+// Guards against counting the complete store as unavailable every second while a
+// third of its partitions are. Unavailable partitions are probed ten times a
+// second; without a call to another partition in between, each failed probe
+// counted as a failure of the complete store.
+func TestGuardProbeFailuresDoNotCountForCompleteStore(t *testing.T) {
 	ctx := context.Background()
 	memory := storetest.New()
 	guard := store.NewGuard(memory, func(string, bool, error) {})
@@ -165,7 +165,7 @@
 	})
 	for range 3 {
 		for _, partition := range []string{"a", "b", "c", "d"} {
-			_, _ = guard.Commit(ctx, in(partition)) // refused for some
+			_, _ = guard.Commit(ctx, putIn(partition)) // refused for some
 		}
 	}
 	for range 20 {
@@ -176,10 +176,10 @@
 	assert.False(t, guard.WholeAway())
 }
 
-// Symptom: an instance learns seconds after an outage that there was one,
-// and drops the endpoints whose entries lapsed. Events: the store falls
-// silent while its feed is watched. Cause: the watch waited to its end.
-func TestWatchEndsWhenStoreIsFoundAway(t *testing.T) {
+// Guards against an instance that notices an outage only seconds after it and
+// drops endpoints whose entries expired in the meantime. The store became silent
+// during a watch of its feed, and the watch waited until its timeout.
+func TestGuardCancelsWatchesWhenStoreUnavailable(t *testing.T) {
 	ctx := context.Background()
 	memory := storetest.New()
 	guard := store.NewGuard(memory, func(string, bool, error) {})
@@ -191,21 +191,22 @@
 	time.Sleep(20 * time.Millisecond)
 	memory.SetFault(func(string, string) storetest.Fault { return storetest.Refuse })
 	for _, partition := range []string{"a", "a", "a", "b", "b", "b"} {
-		_, _ = guard.Commit(ctx, in(partition)) // refused
+		_, _ = guard.Commit(ctx, putIn(partition)) // refused
 	}
 	select {
 	case err := <-ended:
 		assert.True(t, store.Unserved(err))
 	case <-time.After(time.Second):
-		t.Fatal("still watching")
+		t.Fatal("watch not cancelled")
 	}
 }
 
-// slowStore answers each call after a time, or never if it is lost.
+// slowStore responds to each commit after latency, but never to the first lose
+// calls.
 type slowStore struct {
 	store.Store
-	answer time.Duration
-	lose   int
+	latency time.Duration
+	lose    int
 
 	mu    sync.Mutex
 	calls int
@@ -220,7 +221,7 @@
 func (s *slowStore) Commit(ctx context.Context, tx store.Transaction) (uint64, error) {
 	s.mu.Lock()
 	s.calls++
-	wait := s.answer
+	wait := s.latency
 	if s.calls <= s.lose {
 		wait = time.Hour
 	}
@@ -234,112 +235,111 @@
 	}
 }
 
-// Symptom: turns end a second late, or not at all. Events: the store does
-// the writes and loses a third of its answers. Cause: each was waited for
-// until the long time-out.
-func TestLostAnswerIsNotWaitedFor(t *testing.T) {
+// Guards against turns that end a second late or fail. The store applied the
+// writes and lost a third of its responses, and each call waited for the long
+// timeout.
+func TestHedgedRepeatsCallAfterLostResponse(t *testing.T) {
 	slow := &slowStore{Store: storetest.New(), lose: 1}
-	persistent := store.NewPersistent(slow, clock.Real{})
+	hedged := store.NewPersistent(slow, clock.Real{})
 	key := store.Key{Table: "t", Name: "a"}
-	began := time.Now()
-	_, err := persistent.Commit(context.Background(), store.Transaction{Conditions: []store.Condition{{Key: key}}, Puts: []store.Put{{Key: key, Value: []byte("v")}}})
-	assert.True(t, store.Is(err, store.FailureConflict), "the first try was done: %v", err)
-	assert.Less(t, time.Since(began), 500*time.Millisecond)
+	started := time.Now()
+	_, err := hedged.Commit(context.Background(), store.Transaction{Conditions: []store.Condition{{Key: key}}, Puts: []store.Put{{Key: key, Value: []byte("v")}}})
+	assert.True(t, store.Is(err, store.FailureConflict), "the first attempt was applied: %v", err)
+	assert.Less(t, time.Since(started), 500*time.Millisecond)
 	assert.Equal(t, 2, slow.count())
 }
 
-// A store that turned slow, as to 150 ms from 4, is waited for in the end,
-// and after a few calls at once.
-func TestSlowStoreIsWaitedFor(t *testing.T) {
-	slow := &slowStore{Store: storetest.New(), answer: 150 * time.Millisecond}
-	persistent := store.NewPersistent(slow, clock.Real{})
+// Checks that calls to a store that became slow, such as 150 ms instead of 4,
+// succeed, and that after a few calls they are no longer repeated.
+func TestHedgedAdaptsToSlowStore(t *testing.T) {
+	slow := &slowStore{Store: storetest.New(), latency: 150 * time.Millisecond}
+	hedged := store.NewPersistent(slow, clock.Real{})
 	for range 10 {
-		_, err := persistent.Commit(context.Background(), in("a"))
+		_, err := hedged.Commit(context.Background(), putIn("a"))
 		require.NoError(t, err)
 	}
 	before := slow.count()
-	_, err := persistent.Commit(context.Background(), in("a"))
+	_, err := hedged.Commit(context.Background(), putIn("a"))
 	require.NoError(t, err)
 	assert.LessOrEqual(t, slow.count()-before, 2)
 }
 
-// Symptom: nearly all programs fail while the store answers in 250 ms in
-// place of 4. Events: the store turns slow; each call is given up after 60,
-// 120 and 240 ms, and counts as failed. Cause: a call was given up when it
-// was made again, and a slow store taken for one that is away.
-func TestSlowStoreIsNotAway(t *testing.T) {
-	for _, answer := range []time.Duration{250 * time.Millisecond, 500 * time.Millisecond} {
-		slow := &slowStore{Store: storetest.New(), answer: answer}
+// Guards against failing nearly all programs while the store responds in 250 ms
+// instead of 4. Each call was abandoned when it was repeated, after 60, 120 and
+// 240 ms, and counted as failed, so the slow store counted as unavailable.
+func TestGuardKeepsSlowStoreAvailable(t *testing.T) {
+	for _, latency := range []time.Duration{250 * time.Millisecond, 500 * time.Millisecond} {
+		slow := &slowStore{Store: storetest.New(), latency: latency}
 		guard := store.NewGuard(store.NewPersistent(slow, clock.Real{}), func(string, bool, error) {})
 		for n := range 8 {
-			_, err := guard.Commit(context.Background(), in("a"))
-			require.NoError(t, err, "%v, call %d", answer, n)
+			_, err := guard.Commit(context.Background(), putIn("a"))
+			require.NoError(t, err, "%v, call %d", latency, n)
 		}
-		assert.LessOrEqual(t, slow.count(), 20, "few are made twice once it is known to be slow")
+		assert.LessOrEqual(t, slow.count(), 20, "few calls are repeated after the store has become slow")
 	}
 }
 
-// returning is a store that answers nothing until it is back, and never what was
-// asked before.
-type returning struct {
+// recoveringStore doesn't respond to reads until recoversAt, and never to reads
+// sent before.
+type recoveringStore struct {
 	store.Store
-	back  time.Time
-	reads atomic.Int32
+	recoversAt time.Time
+	reads      atomic.Int32
 }
 
-func (s *returning) Read(ctx context.Context, r store.Range) (store.Page, error) {
+func (s *recoveringStore) Read(ctx context.Context, r store.Range) (store.Page, error) {
 	s.reads.Add(1)
-	if time.Now().Before(s.back) {
+	if time.Now().Before(s.recoversAt) {
 		<-ctx.Done()
 		return store.Page{}, store.NewError(store.FailureUnanswered, "read", "test")
 	}
 	return s.Store.Read(ctx, r)
 }
 
-// Guards against requests that wait for a store which has been back for up to a
-// second, since the try before its return was waited for.
-func TestReturnOfSilentStoreIsFoundAtOnce(t *testing.T) {
-	for _, silent := range []time.Duration{4 * time.Second, 4300 * time.Millisecond, 4900 * time.Millisecond} {
+// Guards against requests that wait up to a second for a store that has already
+// recovered, because the probe sent before its recovery was still pending.
+func TestGuardDetectsRecoveryOfSilentStore(t *testing.T) {
+	for _, outage := range []time.Duration{4 * time.Second, 4300 * time.Millisecond, 4900 * time.Millisecond} {
 		synctest.Test(t, func(t *testing.T) {
 			var changes []string
-			var found time.Time
-			s := &returning{Store: storetest.New(), back: time.Now().Add(silent)}
-			guard := store.NewGuard(s, func(partition string, away bool, _ error) {
-				changes, found = append(changes, fmt.Sprint(partition, " away=", away)), time.Now()
+			var lastChange time.Time
+			s := &recoveringStore{Store: storetest.New(), recoversAt: time.Now().Add(outage)}
+			guard := store.NewGuard(s, func(partition string, unavailable bool, _ error) {
+				changes, lastChange = append(changes, fmt.Sprint(partition, " unavailable=", unavailable)), time.Now()
 			})
 			ctx, cancel := context.WithCancel(context.Background())
 			done := make(chan error, 1)
 			go guard.Run(ctx, done)
 			for _, partition := range []string{"a", "a", "a", "b", "b", "b"} {
-				limited, end := context.WithTimeout(ctx, 600*time.Millisecond)
-				_, err := guard.Read(limited, store.Range{Table: "t", Partition: partition})
+				callCtx, stop := context.WithTimeout(ctx, 600*time.Millisecond)
+				_, err := guard.Read(callCtx, store.Range{Table: "t", Partition: partition})
 				assert.True(t, store.Unserved(err))
-				end()
+				stop()
 			}
 			require.True(t, guard.WholeAway())
-			time.Sleep(time.Until(s.back.Add(3 * time.Second)))
+			time.Sleep(time.Until(s.recoversAt.Add(3 * time.Second)))
 			cancel()
 			require.NoError(t, <-done)
-			assert.LessOrEqual(t, found.Sub(s.back), 300*time.Millisecond)
-			assert.Equal(t, []string{"a away=true", "all away=true", "all away=false"}, changes, "tries of before do not count after the return")
+			assert.LessOrEqual(t, lastChange.Sub(s.recoversAt), 300*time.Millisecond)
+			assert.Equal(t, []string{"a unavailable=true", "all unavailable=true", "all unavailable=false"}, changes, "probes sent before the recovery are ignored after it")
 		})
 	}
 }
 
-// Guards against a store that is pressed with tries of partitions that are silent,
-// while it serves the others.
-func TestSilentPartitionsAreTriedOnceASecond(t *testing.T) {
+// Guards against loading the store with probes of silent partitions while it
+// serves the others.
+func TestGuardProbesSilentPartitionOncePerSecond(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := &returning{Store: storetest.New(), back: time.Now().Add(time.Hour)}
+		s := &recoveringStore{Store: storetest.New(), recoversAt: time.Now().Add(time.Hour)}
 		guard := store.NewGuard(s, func(string, bool, error) {})
 		ctx, cancel := context.WithCancel(context.Background())
 		done := make(chan error, 1)
 		go guard.Run(ctx, done)
 		for range 3 {
-			limited, end := context.WithTimeout(ctx, 600*time.Millisecond)
-			_, err := guard.Read(limited, store.Range{Table: "t", Partition: "a"})
+			callCtx, stop := context.WithTimeout(ctx, 600*time.Millisecond)
+			_, err := guard.Read(callCtx, store.Range{Table: "t", Partition: "a"})
 			assert.True(t, store.Unserved(err))
-			end()
+			stop()
 		}
 		require.True(t, guard.Away("a"))
 		before := s.reads.Load()
@@ -350,54 +350,54 @@
 	})
 }
 
-// Guards against events that are passed on at once while the store serves no turn,
-// and held back while it does.
-func TestStoreIsFoundSlow(t *testing.T) {
+// Guards against events that are forwarded immediately while the store serves no
+// turn, and against delaying them while it does.
+func TestGuardSlow(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		slow := &slowStore{Store: storetest.New(), answer: 4 * time.Millisecond}
+		slow := &slowStore{Store: storetest.New(), latency: 4 * time.Millisecond}
 		guard := store.NewGuard(slow, func(string, bool, error) {})
-		commit := func() { _, _ = guard.Commit(context.Background(), in("a")) }
+		commit := func() { _, _ = guard.Commit(context.Background(), putIn("a")) }
 		commit()
 		time.Sleep(time.Hour)
-		assert.False(t, guard.Slow(), "nothing is asked of it")
-		slow.answer = 300 * time.Millisecond
+		assert.False(t, guard.Slow(), "no call is pending")
+		slow.latency = 300 * time.Millisecond
 		go commit()
 		time.Sleep(99 * time.Millisecond)
 		assert.False(t, guard.Slow())
 		time.Sleep(time.Millisecond)
-		assert.True(t, guard.Slow(), "a call is late")
+		assert.True(t, guard.Slow(), "the pending call is slow")
 		time.Sleep(300 * time.Millisecond)
-		assert.True(t, guard.Slow(), "the last answer was")
-		slow.answer = 4 * time.Millisecond
+		assert.True(t, guard.Slow(), "the last response was slow")
+		slow.latency = 4 * time.Millisecond
 		time.Sleep(time.Second)
 		commit()
 		assert.False(t, guard.Slow())
 		ctx, cancel := context.WithCancel(context.Background())
 		cancel()
-		slow.answer = time.Hour
-		_, err := guard.Commit(ctx, in("a"))
+		slow.latency = time.Hour
+		_, err := guard.Commit(ctx, putIn("a"))
 		assert.Error(t, err)
 		time.Sleep(time.Second)
-		assert.False(t, guard.Slow(), "a call that was given up says nothing")
+		assert.False(t, guard.Slow(), "a cancelled call is ignored")
 	})
 }
 
-// Guards against a store that is made busier as it turns slow: each write that is
-// made again takes a place in its partition, which serves six a second then.
-func TestStoreThatTurnsSlowIsNotAskedTwice(t *testing.T) {
-	for _, answer := range []time.Duration{200 * time.Millisecond, 240 * time.Millisecond} {
+// Guards against adding load to a store that becomes slow: each repeated write
+// adds to the queue of its partition, which then serves six a second.
+func TestHedgedDoesNotRepeatCallsWhenStoreSlowsDown(t *testing.T) {
+	for _, latency := range []time.Duration{200 * time.Millisecond, 240 * time.Millisecond} {
 		synctest.Test(t, func(t *testing.T) {
-			slow := &slowStore{Store: storetest.New(), answer: 4 * time.Millisecond}
-			persistent := store.NewPersistent(slow, clock.Real{})
+			slow := &slowStore{Store: storetest.New(), latency: 4 * time.Millisecond}
+			hedged := store.NewPersistent(slow, clock.Real{})
 			commit := func() {
-				_, err := persistent.Commit(context.Background(), in("a"))
+				_, err := hedged.Commit(context.Background(), putIn("a"))
 				assert.NoError(t, err)
 			}
 			for range 20 {
 				commit()
 			}
 			slow.mu.Lock()
-			slow.answer = answer
+			slow.latency = latency
 			slow.mu.Unlock()
 			var calls sync.WaitGroup
 			for range 100 {
@@ -410,62 +410,62 @@
 	}
 }
 
-// Guards against a turn that waits for an answer that is lost while others come:
-// the store is not slow.
-func TestLostAnswerIsKnownByLaterOnes(t *testing.T) {
+// Guards against a turn that waits long for a lost response although the
+// responses to later calls show that the store is not slow.
+func TestHedgedDetectsLossFromLaterResponses(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		slow := &slowStore{Store: storetest.New(), answer: 4 * time.Millisecond, lose: 1}
-		persistent := store.NewPersistent(slow, clock.Real{})
-		began := time.Now()
+		slow := &slowStore{Store: storetest.New(), latency: 4 * time.Millisecond, lose: 1}
+		hedged := store.NewPersistent(slow, clock.Real{})
+		started := time.Now()
 		var calls sync.WaitGroup
 		calls.Go(func() {
-			_, err := persistent.Commit(context.Background(), in("a"))
+			_, err := hedged.Commit(context.Background(), putIn("a"))
 			assert.NoError(t, err)
-			assert.Less(t, time.Since(began), 100*time.Millisecond)
+			assert.Less(t, time.Since(started), 100*time.Millisecond)
 		})
 		for range 5 {
 			time.Sleep(10 * time.Millisecond)
-			_, err := persistent.Commit(context.Background(), in("b"))
+			_, err := hedged.Commit(context.Background(), putIn("b"))
 			assert.NoError(t, err)
 		}
 		calls.Wait()
 	})
 }
 
-// Guards against turns that wait for each lost answer as for a slow store's, while
-// the store loses a third of them.
-func TestStoreThatLosesAnswersIsAskedAgainSoon(t *testing.T) {
+// Guards against turns that wait for each lost response as long as for a slow
+// store, while the store loses a third of its responses.
+func TestHedgedRepeatsSoonerAfterLosses(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		slow := &slowStore{Store: storetest.New(), answer: 4 * time.Millisecond}
-		persistent := store.NewPersistent(slow, clock.Real{})
-		var worst time.Duration
+		slow := &slowStore{Store: storetest.New(), latency: 4 * time.Millisecond}
+		hedged := store.NewPersistent(slow, clock.Real{})
+		var maxLatency time.Duration
 		for n := range 20 {
 			if n%3 == 0 {
 				slow.mu.Lock()
-				slow.lose = slow.calls + 1 // its first answer
+				slow.lose = slow.calls + 1 // lose the response to the next attempt
 				slow.mu.Unlock()
 			}
-			began := time.Now()
-			_, err := persistent.Commit(context.Background(), in("a"))
+			started := time.Now()
+			_, err := hedged.Commit(context.Background(), putIn("a"))
 			require.NoError(t, err)
 			if n > 3 {
-				worst = max(worst, time.Since(began))
+				maxLatency = max(maxLatency, time.Since(started))
 			}
 			time.Sleep(50 * time.Millisecond)
 		}
-		assert.Less(t, worst, 100*time.Millisecond)
+		assert.Less(t, maxLatency, 100*time.Millisecond)
 	})
 }
 
-// Guards against a call that is given up at the limit of a quick store though
-// answers show by then that it is slow.
-func TestCallUnderWayIsWaitedForAsAnswersTellItIsSlow(t *testing.T) {
+// Guards against a call that times out after the timeout of a fast store although
+// responses received in the meantime show that the store is slow.
+func TestHedgedExtendsTimeoutOfPendingCall(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		slow := &slowStore{Store: storetest.New(), answer: 300 * time.Millisecond}
-		persistent := store.NewPersistent(slow, clock.Real{})
+		slow := &slowStore{Store: storetest.New(), latency: 300 * time.Millisecond}
+		hedged := store.NewPersistent(slow, clock.Real{})
 		var calls sync.WaitGroup
 		commit := func(partition string) {
-			_, err := persistent.Commit(context.Background(), in(partition))
+			_, err := hedged.Commit(context.Background(), putIn(partition))
 			assert.NoError(t, err)
 		}
 		for range 3 {
@@ -473,43 +473,43 @@
 		}
 		time.Sleep(time.Millisecond)
 		slow.mu.Lock()
-		slow.answer = 900 * time.Millisecond
+		slow.latency = 900 * time.Millisecond
 		slow.mu.Unlock()
 		calls.Go(func() { commit("a") })
 		calls.Wait()
 	})
 }
 
-// Guards against writes that are given up while they wait in a busy partition, and
-// are then made twice: a slow store answers in a second and a quarter.
-func TestBusyPartitionIsWaitedFor(t *testing.T) {
-	slow := &slowStore{Store: storetest.New(), answer: 950 * time.Millisecond}
-	persistent := store.NewPersistent(slow, clock.Real{})
+// Guards against writes that time out while they wait in a busy partition and are
+// then executed twice: a slow store responds in up to 1.25 s.
+func TestHedgedWaitsForBusyPartition(t *testing.T) {
+	slow := &slowStore{Store: storetest.New(), latency: 950 * time.Millisecond}
+	hedged := store.NewPersistent(slow, clock.Real{})
 	for range 6 {
-		_, _ = persistent.Commit(context.Background(), in("a")) // the first is given up
+		_, _ = hedged.Commit(context.Background(), putIn("a")) // the first times out
 	}
 	slow.mu.Lock()
-	slow.answer = 1300 * time.Millisecond
+	slow.latency = 1300 * time.Millisecond
 	slow.mu.Unlock()
-	_, err := persistent.Commit(context.Background(), in("a"))
+	_, err := hedged.Commit(context.Background(), putIn("a"))
 	require.NoError(t, err)
 }
 
-// Symptom: turns through a machine that the store ignores take seconds.
-// Cause: each call waited for a long time-out. It may cost 0.6 s, then 1 s
-// until it is known.
-func TestSilentStoreIsGivenUp(t *testing.T) {
+// Guards against turns that take seconds when the store doesn't respond to a
+// machine, because each call waited for a long timeout. The first call may take
+// 0.6 s and later ones 1 s, until the store counts as unavailable.
+func TestHedgedTimesOutOnSilentStore(t *testing.T) {
 	slow := &slowStore{Store: storetest.New(), lose: 1000}
 	guard := store.NewGuard(store.NewPersistent(slow, clock.Real{}), func(string, bool, error) {})
-	began := time.Now()
+	started := time.Now()
 	for range 10 {
-		_, err := guard.Commit(context.Background(), in("a"))
+		_, err := guard.Commit(context.Background(), putIn("a"))
 		require.True(t, store.Unserved(err), "%v", err)
 	}
-	assert.Less(t, time.Since(began), 3*time.Second)
+	assert.Less(t, time.Since(started), 3*time.Second)
 }
 
-func TestNames(t *testing.T) {
+func TestName(t *testing.T) {
 	assert.Equal(t, "9c41d07be2a35f68", store.Name("9c41d07be2a35f68"))
 	for _, odd := range []string{"", "a/b", "a b", string(make([]byte, 500)), "ü"} {
 		name := store.Name(odd)
--- a/store/name.go
+++ b/store/name.go
@@ -5,20 +5,20 @@
 	"encoding/hex"
 )
 
-// maxName bounds a row's name made of a caller's text, in bytes; the store
-// takes 200.
-const maxName = 120
+// maxNameBytes is the longest ID used as a row name unchanged, in bytes. The
+// store accepts names of 200 bytes.
+const maxNameBytes = 120
 
-// Name returns the row name for an ID that comes from a caller: the ID
-// itself, or its hash if it is long or holds anything but letters, digits,
-// '-' and '_'.
+// Name returns the row name for an ID supplied by a caller: the ID itself, or
+// "sha256." and its hash if it is empty, longer than maxNameBytes or has
+// characters other than ASCII letters, digits, '-' and '_'.
 func Name(id string) string {
-	plain := id != "" && len(id) <= maxName
-	for i := 0; plain && i < len(id); i++ {
+	isPlain := id != "" && len(id) <= maxNameBytes
+	for i := 0; isPlain && i < len(id); i++ {
 		c := id[i]
-		plain = c >= 'a' && c <= 'z' || c >= 'A' && c <= 'Z' || c >= '0' && c <= '9' || c == '-' || c == '_'
+		isPlain = c >= 'a' && c <= 'z' || c >= 'A' && c <= 'Z' || c >= '0' && c <= '9' || c == '-' || c == '_'
 	}
-	if plain {
+	if isPlain {
 		return id
 	}
 	sum := sha256.Sum256([]byte(id))
--- a/store/store.go
+++ b/store/store.go
@@ -5,46 +5,47 @@
 	"time"
 )
 
-// Key names a row. Rows of one partition can be changed together at the
-// least cost.
+// Key identifies a row. Transactions over rows of one partition cost the
+// least.
 type Key struct {
 	Table     string
 	Partition string
 	Name      string
 }
 
-// Row is a row as read. Version grows with each change anywhere in the
-// store; it is 0 for a row that does not exist.
+// Row is a row as read from the store. Version increases with every change
+// anywhere in the store; it is 0 for a row that does not exist.
 type Row struct {
 	Key     Key
 	Value   []byte
 	Version uint64
-	// Removed is set in a feed for a row that was deleted.
+	// Removed is set, in results of Watch, for a row that was deleted.
 	Removed bool
 }
 
-// Condition requires a row to have a version; 0 requires that it is absent.
+// Condition requires that a row has the given version; version 0 requires that
+// the row does not exist.
 type Condition struct {
 	Key     Key
 	Version uint64
 }
 
-// Put writes a row.
+// Put writes a value to a row.
 type Put struct {
 	Key   Key
 	Value []byte
 }
 
-// Transaction is applied as a whole, if all its conditions hold, or not at
-// all.
+// Transaction is a set of writes that is applied completely if all its
+// conditions hold, and not at all otherwise.
 type Transaction struct {
 	Conditions []Condition
 	Puts       []Put
 	Deletes    []Key
 }
 
-// partition returns the partition of the transaction's first row; those of
-// this product have one.
+// partition returns the partition of the first row of the transaction. All
+// transactions of this project stay within one partition.
 func (tx *Transaction) partition() string {
 	switch {
 	case len(tx.Puts) > 0:
@@ -57,18 +58,18 @@
 	return ""
 }
 
-// Page is an answer about rows.
+// Page is the result of Read or Watch.
 type Page struct {
 	Rows []Row
-	// Version is the newest version in the store at the moment of reading.
+	// Version is the latest version of the store at the time of the read.
 	Version uint64
-	// More is set if rows beyond these match.
+	// More is set if further rows match.
 	More bool
 }
 
-// Range selects rows of a partition: names from From (included) to To
-// (excluded); an empty bound is open. Limit 0 means as many as an answer
-// holds.
+// Range selects rows of one partition by name, from From (inclusive) to To
+// (exclusive); an empty bound is open. A Limit of 0 returns as many rows as fit
+// into a response.
 type Range struct {
 	Table     string
 	Partition string
@@ -76,18 +77,21 @@
 	Limit     int
 }
 
-// Store is the durable store. Every error is a *Error.
+// Store is the durable store. All errors are of type *Error.
 type Store interface {
-	// Commit applies a transaction and returns its version.
+	// Commit applies a transaction and returns its version. It fails with
+	// FailureConflict if a condition does not hold.
 	Commit(ctx context.Context, tx Transaction) (uint64, error)
-	// Read returns the rows of a range as of one moment.
+	// Read returns the rows of a range from one consistent snapshot.
 	Read(ctx context.Context, r Range) (Page, error)
-	// Watch returns the rows of a table changed after a version, in order,
-	// waiting up to wait for the first.
+	// Watch returns the rows of a table changed after a version, in order. If
+	// there are none, it waits up to wait for the first, then returns an empty
+	// page. It fails with FailureCompacted if the history no longer reaches back
+	// to after.
 	Watch(ctx context.Context, table string, after uint64, wait time.Duration) (Page, error)
 }
 
-// Get reads one row through s. A missing row has Version 0.
+// Get reads one row from s. A missing row has Version 0.
 func Get(ctx context.Context, s Store, key Key) (Row, error) {
 	page, err := s.Read(ctx, Range{Table: key.Table, Partition: key.Partition, From: key.Name, To: key.Name + "\x00", Limit: 1})
 	if err != nil {
--- a/store/storetest/memory.go
+++ b/store/storetest/memory.go
@@ -1,6 +1,6 @@
-// Package storetest is a store.Store in memory for tests, with the failures
-// of a real one: calls that are refused, answers that are lost, and writes
-// that are applied late.
+// Package storetest provides an in-memory store.Store for tests. It can inject
+// the failures of a real store: rejected calls, lost responses, and writes that
+// are applied late.
 package storetest
 
 import (
@@ -14,68 +14,73 @@
 	"github.com/wagtaildrum/wagtaildrum/store"
 )
 
-// Memory is a store in memory. Its zero value is not usable; call New.
+// Memory is a store in memory. Its zero value is not usable; call New. The
+// fields rows and log hold the current rows and the change history, compactedTo
+// the version up to which the history was dropped, and lostCommits the
+// transactions of requests lost by LoseCall.
 type Memory struct {
-	mu      sync.Mutex
-	rows    map[place]map[string]store.Row
-	log     []store.Row
-	floor   uint64
-	version uint64
-	changed chan struct{}
-	fault   func(op, partition string) Fault
-	commits int
-	late    []store.Transaction
+	mu          sync.Mutex
+	rows        map[partitionKey]map[string]store.Row
+	log         []store.Row
+	compactedTo uint64
+	version     uint64
+	changed     chan struct{}
+	fault       func(op, partition string) Fault
+	commits     int
+	lostCommits []store.Transaction
 }
 
-// place is where rows are read together.
-type place struct{ table, partition string }
+// partitionKey identifies a partition of a table.
+type partitionKey struct{ table, partition string }
 
-func placeOf(key store.Key) place { return place{table: key.Table, partition: key.Partition} }
+func partitionKeyOf(key store.Key) partitionKey {
+	return partitionKey{table: key.Table, partition: key.Partition}
+}
 
 func (memory *Memory) row(key store.Key) (store.Row, bool) {
-	row, ok := memory.rows[placeOf(key)][key.Name]
+	row, ok := memory.rows[partitionKeyOf(key)][key.Name]
 	return row, ok
 }
 
 func (memory *Memory) put(row store.Row) {
-	at := placeOf(row.Key)
-	if memory.rows[at] == nil {
-		memory.rows[at] = map[string]store.Row{}
+	partition := partitionKeyOf(row.Key)
+	if memory.rows[partition] == nil {
+		memory.rows[partition] = map[string]store.Row{}
 	}
-	memory.rows[at][row.Key.Name] = row
+	memory.rows[partition][row.Key.Name] = row
 }
 
-// Fault is what happens to one call.
+// Fault is the treatment of one call.
 type Fault int
 
-// Faults.
+// The faults that a test can inject.
 const (
-	// None: the call is served.
+	// None serves the call.
 	None Fault = iota
-	// Refuse: nothing is done.
+	// Refuse rejects the call with FailureRefused; nothing is done.
 	Refuse
-	// LoseAnswer: the call is done, its answer is lost.
+	// LoseAnswer executes the call and fails it with FailureUnanswered.
 	LoseAnswer
-	// LoseCall: the call is lost; a transaction is kept, and may be applied
-	// by ApplyLate.
+	// LoseCall fails the call with FailureUnanswered without executing it. A
+	// transaction is kept and can be applied by ApplyLate.
 	LoseCall
 )
 
-// New returns an empty store without faults.
+// New returns an empty store that injects no faults.
 func New() *Memory {
-	return &Memory{rows: map[place]map[string]store.Row{}, changed: make(chan struct{}), fault: func(string, string) Fault { return None }}
+	return &Memory{rows: map[partitionKey]map[string]store.Row{}, changed: make(chan struct{}), fault: func(string, string) Fault { return None }}
 }
 
-// SetFault has f decide what happens to each call ("commit", "read",
-// "watch") of a partition.
+// SetFault makes f decide the treatment of each call. Its op is "commit", "read"
+// or "watch"; partition is empty for a watch.
 func (memory *Memory) SetFault(f func(op, partition string) Fault) {
 	memory.mu.Lock()
 	defer memory.mu.Unlock()
 	memory.fault = f
 }
 
-// Random returns a fault function that draws each of faults with the
-// probability share, else None.
+// Random returns a function for SetFault that returns one of faults, chosen
+// uniformly, with the probability share, and None otherwise.
 func Random(rng *rand.Rand, share float64, faults ...Fault) func(string, string) Fault {
 	var mu sync.Mutex
 	return func(string, string) Fault {
@@ -88,26 +93,26 @@
 	}
 }
 
-// Commits returns how many transactions were applied.
+// Commits returns the number of transactions applied.
 func (memory *Memory) Commits() int {
 	memory.mu.Lock()
 	defer memory.mu.Unlock()
 	return memory.commits
 }
 
-// ApplyLate applies the transactions whose calls were lost, in order, each
-// if its conditions hold by then.
+// ApplyLate applies, in order, the transactions whose requests were lost, each
+// only if its conditions hold now.
 func (memory *Memory) ApplyLate() {
 	memory.mu.Lock()
 	defer memory.mu.Unlock()
-	for _, tx := range memory.late {
-		_, _ = memory.apply(tx) // one whose conditions do not hold is void
+	for _, tx := range memory.lostCommits {
+		_, _ = memory.apply(tx) // a transaction whose conditions fail has no effect
 	}
-	memory.late = nil
+	memory.lostCommits = nil
 }
 
-// Apply does what tx says whatever faults are set, as whoever does not go
-// through the instances' ways to the store.
+// Apply applies tx regardless of injected faults, as a writer does that doesn't
+// use the instances' connections to the store.
 func (memory *Memory) Apply(tx store.Transaction) error {
 	memory.mu.Lock()
 	defer memory.mu.Unlock()
@@ -115,35 +120,39 @@
 	return err
 }
 
-// Compact forgets the history of changes.
+// Compact drops the history of changes.
 func (memory *Memory) Compact() {
 	memory.mu.Lock()
 	defer memory.mu.Unlock()
-	memory.log, memory.floor = nil, memory.version
-	memory.wake()
+	memory.log, memory.compactedTo = nil, memory.version
+	memory.notify()
 }
 
-func (memory *Memory) wake() {
+// notify wakes pending watches. The caller holds mu.
+func (memory *Memory) notify() {
 	close(memory.changed)
 	memory.changed = make(chan struct{})
 }
 
+// apply applies tx and returns its version. It fails with FailureConflict if a
+// condition does not hold and with FailureInvalid if a put has no value. The
+// caller holds mu.
 func (memory *Memory) apply(tx store.Transaction) (uint64, error) {
-	var conflict []store.Row
-	held := true
+	var current []store.Row
+	satisfied := true
 	for _, put := range tx.Puts {
 		if len(put.Value) == 0 {
-			return 0, store.NewError(store.FailureInvalid, "commit", "a row without a value")
+			return 0, store.NewError(store.FailureInvalid, "commit", "row without a value")
 		}
 	}
 	for _, condition := range tx.Conditions {
 		row, _ := memory.row(condition.Key)
 		row.Key = condition.Key
-		conflict = append(conflict, row)
-		held = held && row.Version == condition.Version
+		current = append(current, row)
+		satisfied = satisfied && row.Version == condition.Version
 	}
-	if !held {
-		return 0, store.NewConflict("commit", conflict)
+	if !satisfied {
+		return 0, store.NewConflict("commit", current)
 	}
 	memory.version++
 	memory.commits++
@@ -154,15 +163,15 @@
 	}
 	for _, key := range tx.Deletes {
 		if _, ok := memory.row(key); ok {
-			delete(memory.rows[placeOf(key)], key.Name)
+			delete(memory.rows[partitionKeyOf(key)], key.Name)
 			memory.log = append(memory.log, store.Row{Key: key, Version: memory.version, Removed: true})
 		}
 	}
-	memory.wake()
+	memory.notify()
 	return memory.version, nil
 }
 
-// Commit implements store.Store.
+// Commit implements store.Store, subject to injected faults.
 func (memory *Memory) Commit(_ context.Context, tx store.Transaction) (uint64, error) {
 	memory.mu.Lock()
 	defer memory.mu.Unlock()
@@ -174,16 +183,16 @@
 	case Refuse:
 		return 0, store.NewError(store.FailureRefused, "commit", "test")
 	case LoseCall:
-		memory.late = append(memory.late, tx)
+		memory.lostCommits = append(memory.lostCommits, tx)
 		return 0, store.NewError(store.FailureUnanswered, "commit", "test")
 	case LoseAnswer:
-		_, _ = memory.apply(tx) // nobody hears of it
+		_, _ = memory.apply(tx) // the response is lost, with it any error
 		return 0, store.NewError(store.FailureUnanswered, "commit", "test")
 	}
 	return memory.apply(tx)
 }
 
-// Read implements store.Store.
+// Read implements store.Store, subject to injected faults.
 func (memory *Memory) Read(_ context.Context, r store.Range) (store.Page, error) {
 	memory.mu.Lock()
 	defer memory.mu.Unlock()
@@ -194,7 +203,7 @@
 		return store.Page{}, store.NewError(store.FailureUnanswered, "read", "test")
 	}
 	page := store.Page{Version: memory.version}
-	for name, row := range memory.rows[place{table: r.Table, partition: r.Partition}] {
+	for name, row := range memory.rows[partitionKey{table: r.Table, partition: r.Partition}] {
 		if name >= r.From && (r.To == "" || name < r.To) {
 			page.Rows = append(page.Rows, row)
 		}
@@ -206,7 +215,7 @@
 	return page, nil
 }
 
-// Watch implements store.Store.
+// Watch implements store.Store, subject to injected faults.
 func (memory *Memory) Watch(ctx context.Context, table string, after uint64, wait time.Duration) (store.Page, error) {
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
@@ -225,6 +234,8 @@
 	}
 }
 
+// changes returns the changes of a table after a version, and a channel that is
+// closed at the next change.
 func (memory *Memory) changes(table string, after uint64) (store.Page, <-chan struct{}, error) {
 	memory.mu.Lock()
 	defer memory.mu.Unlock()
@@ -234,7 +245,7 @@
 	case LoseAnswer, LoseCall:
 		return store.Page{}, nil, store.NewError(store.FailureUnanswered, "watch", "test")
 	}
-	if after < memory.floor {
+	if after < memory.compactedTo {
 		return store.Page{}, nil, store.NewError(store.FailureCompacted, "watch", "test")
 	}
 	page := store.Page{Version: memory.version}
