--- a/archive/archive.go
+++ b/archive/archive.go
@@ -18,38 +18,44 @@
 )
 
 const (
+	// table is the table of all turns.
 	table = "turns"
-	// partitions spread the turns, as those of package account spread the
-	// programs, and apart from them.
+	// partitions is the number of partitions that turns are spread over. They
+	// are separate from the partitions of package account, which spread the
+	// programs in the same way.
 	partitions = 48
-	// rowShare of the largest row is used: a row's value may be counted in
-	// its encoded form, a third longer.
-	rowShare = 0.7
-	// firstPause and maxPause are between tries to keep a turn while the
-	// store does not take it.
-	firstPause = 20 * time.Millisecond
-	maxPause   = 200 * time.Millisecond
-	// parallelReads bounds the reads of one chain at a time.
+	// maxRowFill is the used fraction of the maximum row size: the store may
+	// count the encoded form of a value, which is a third longer.
+	maxRowFill = 0.7
+	// initialWriteDelay and maxWriteDelay are the initial and the maximum
+	// backoff between attempts to write a turn while the store doesn't accept
+	// it.
+	initialWriteDelay = 20 * time.Millisecond
+	maxWriteDelay     = 200 * time.Millisecond
+	// parallelReads is the maximum number of concurrent reads for one chain.
 	parallelReads = 8
 )
 
-// UnknownTurnError is a turn that was never kept.
+// UnknownTurnError is returned for a turn that the store doesn't hold, or that
+// belongs to another organisation.
 type UnknownTurnError struct {
 	id string
 }
 
-// Error names the turn.
+// Error returns a message with the ID of the turn.
 func (e *UnknownTurnError) Error() string { return "no turn " + e.id }
 
-// TakenError is a turn whose ID another turn has.
-type TakenError struct {
+// TurnConflictError is returned for a turn whose ID another turn already has.
+type TurnConflictError struct {
 	id string
 }
 
-// Error names the turn.
-func (e *TakenError) Error() string { return "turn " + e.id + " was kept with other content" }
+// Error returns a message with the ID of the turn.
+func (e *TurnConflictError) Error() string {
+	return "turn " + e.id + " was already stored with different content"
+}
 
-// Archive keeps turns. It is safe for concurrent use.
+// Archive stores and reads turns. It is safe for concurrent use.
 type Archive struct {
 	store    store.Store
 	peers    Peers
@@ -60,19 +66,20 @@
 	kept, read, hits, retried, fetched, missed tally.Counter
 }
 
-// New returns an archive over s, whose rows hold rowBytes, with cacheBytes
-// of memory for turns.
+// New returns an Archive over s, whose rows hold up to rowBytes, with a cache of
+// cacheBytes. It fetches turns from peers before it reads s.
 func New(s store.Store, peers Peers, rowBytes, cacheBytes int, log *slog.Logger, scope tally.Scope) *Archive {
-	return &Archive{store: s, peers: peers, rowBytes: int(rowShare * float64(rowBytes)), cache: newCache(cacheBytes), log: log,
+	return &Archive{store: s, peers: peers, rowBytes: int(maxRowFill * float64(rowBytes)), cache: newCache(cacheBytes), log: log,
 		kept: scope.Counter("turns_kept"), read: scope.Counter("turns_read"), hits: scope.Counter("turns_in_memory"), retried: scope.Counter("turn_write_retries"),
 		fetched: scope.Counter("turns_fetched"), missed: scope.Counter("turn_fetches_missed")}
 }
 
-// Chain returns the turn of an ID and its ancestors, oldest first, if they are
-// the organisation's; "" for none. It asks holder, an instance that may have
-// them in memory, before it reads the store; "" if none is known. It returns an
-// *UnknownTurnError if the store holds no such turn of the organisation, else
-// the store's *store.Error.
+// Chain returns the turn id and its ancestors, oldest first, if the turn belongs
+// to organisation, which is empty for callers without one. Unless the turn is
+// cached, Chain first requests the turns from the instance holder, which may
+// have them in memory and is empty if unknown, and reads the remaining ones from
+// the store. Chain returns an *UnknownTurnError if the store holds no such turn
+// of the organisation, and the *store.Error if reading fails.
 func (archive *Archive) Chain(ctx context.Context, organisation, id, holder string) ([]*history.Turn, error) {
 	archive.fetch(ctx, id, holder)
 	last, err := archive.turn(ctx, id)
@@ -90,59 +97,62 @@
 	return chain, nil
 }
 
-// ancestors reads the turns of ids into chain, several at a time.
+// ancestors sets chain[i] to the turn ids[i] for all ids, reading up to
+// parallelReads turns at a time. It returns the first error.
 func (archive *Archive) ancestors(ctx context.Context, ids []string, chain []*history.Turn) error {
 	type result struct {
-		at   int
-		turn *history.Turn
-		err  error
+		index int
+		turn  *history.Turn
+		err   error
 	}
 	results := make(chan result, len(ids))
-	places := make(chan struct{}, parallelReads)
-	reading := 0
+	slots := make(chan struct{}, parallelReads)
+	pending := 0
 	for i, id := range ids {
 		if turn := archive.cache.get(id); turn != nil {
 			archive.hits.Inc(1)
 			chain[i] = turn
 			continue
 		}
-		reading++
+		pending++
 		go func() {
-			places <- struct{}{}
-			defer func() { <-places }()
+			slots <- struct{}{}
+			defer func() { <-slots }()
 			turn, err := archive.turn(ctx, id)
-			results <- result{at: i, turn: turn, err: err}
+			results <- result{index: i, turn: turn, err: err}
 		}()
 	}
-	var first error
-	for range reading {
+	var firstErr error
+	for range pending {
 		got := <-results
-		if got.err != nil && first == nil {
-			first = got.err
-			if unknown, ok := first.(*UnknownTurnError); ok {
-				// A turn is kept only after its ancestors: this is not the
-				// caller's error.
-				first = store.NewError(store.FailureInvalid, "read turn", "ancestor missing: "+unknown.id)
+		if got.err != nil && firstErr == nil {
+			firstErr = got.err
+			if unknown, ok := firstErr.(*UnknownTurnError); ok {
+				// A turn is written only after its ancestors, so a missing
+				// ancestor is a fault of the stored data, not of the caller.
+				firstErr = store.NewError(store.FailureInvalid, "read turn", "ancestor missing: "+unknown.id)
 			}
 		}
-		chain[got.at] = got.turn
+		chain[got.index] = got.turn
 	}
-	return first
+	return firstErr
 }
 
+// turn returns a turn from the cache or the store. It returns an
+// *UnknownTurnError if the store has no rows of the turn.
 func (archive *Archive) turn(ctx context.Context, id string) (*history.Turn, error) {
 	if turn := archive.cache.get(id); turn != nil {
 		archive.hits.Inc(1)
 		return turn, nil
 	}
-	parts, err := archive.rows(ctx, id)
+	values, err := archive.rows(ctx, id)
 	if err != nil {
 		return nil, err
 	}
-	if len(parts) == 0 {
+	if len(values) == 0 {
 		return nil, &UnknownTurnError{id: id}
 	}
-	turn, err := history.Decode(id, parts)
+	turn, err := history.Decode(id, values)
 	if err != nil {
 		return nil, store.NewError(store.FailureInvalid, "read turn", err.Error())
 	}
@@ -151,27 +161,28 @@
 	return turn, nil
 }
 
-// rows reads the values of a turn's rows, in order: those of the turn's own
-// partition, else of its other one. That there are none is certain only if
-// both were read.
+// rows returns the values of a turn's rows, in order, from its primary partition
+// or else from its secondary one. It returns no rows and no error only if it
+// read both partitions.
 func (archive *Archive) rows(ctx context.Context, id string) ([][]byte, error) {
-	own, other := homes(id)
-	parts, err := archive.rowsIn(ctx, own, id)
-	if err == nil && len(parts) > 0 {
-		return parts, nil
+	primary, secondary := turnPartitions(id)
+	values, err := archive.rowsIn(ctx, primary, id)
+	if err == nil && len(values) > 0 {
+		return values, nil
 	}
-	elsewhere, otherErr := archive.rowsIn(ctx, other, id)
-	if otherErr != nil {
-		return nil, otherErr
+	secondaryValues, secondaryErr := archive.rowsIn(ctx, secondary, id)
+	if secondaryErr != nil {
+		return nil, secondaryErr
 	}
-	if len(elsewhere) > 0 {
-		return elsewhere, nil
+	if len(secondaryValues) > 0 {
+		return secondaryValues, nil
 	}
 	return nil, err
 }
 
+// rowsIn returns the values of a turn's rows in one partition, in order.
 func (archive *Archive) rowsIn(ctx context.Context, partition, id string) ([][]byte, error) {
-	var parts [][]byte
+	var values [][]byte
 	from := rowName(id, 0)
 	for {
 		page, err := archive.store.Read(ctx, store.Range{Table: table, Partition: partition, From: from, To: rowEnd(id)})
@@ -179,33 +190,34 @@
 			return nil, err
 		}
 		for _, row := range page.Rows {
-			if row.Key.Name == rowName(id, len(parts)) {
-				parts = append(parts, row.Value)
+			if row.Key.Name == rowName(id, len(values)) {
+				values = append(values, row.Value)
 			}
 			from = row.Key.Name + " "
 		}
 		if !page.More || len(page.Rows) == 0 {
-			return parts, nil
+			return values, nil
 		}
 	}
 }
 
-// Keep makes turn durable. It tries until ctx ends, since a turn that is
-// not kept is lost to its caller: a try whose answer was lost may have been
-// done, and doing it again changes nothing. It returns a *TakenError if the
-// ID belongs to another turn, else the last error of the store.
+// Keep makes turn durable. It retries until ctx ends, since a turn that isn't
+// stored is lost to its caller. Retries are idempotent: an attempt whose response
+// was lost may have been applied. Keep returns a *TurnConflictError if the ID
+// belongs to another turn, a *history.TooLargeError if the turn doesn't fit, and
+// otherwise the last error of the store.
 func (archive *Archive) Keep(ctx context.Context, turn *history.Turn) error {
-	parts, err := turn.Encode(archive.rowBytes)
+	values, err := turn.Encode(archive.rowBytes)
 	if err != nil {
 		return err
 	}
-	backoff := retry.Backoff{First: firstPause, Most: maxPause}
+	backoff := retry.Backoff{First: initialWriteDelay, Most: maxWriteDelay}
 	for {
-		own, other := homes(turn.ID)
-		err := archive.write(ctx, own, turn.ID, parts)
+		primary, secondary := turnPartitions(turn.ID)
+		err := archive.write(ctx, primary, turn.ID, values)
 		if store.Unserved(err) {
-			// A part of the partitions may be away while others are served.
-			err = archive.write(ctx, other, turn.ID, parts)
+			// Some partitions may be unavailable while others are served.
+			err = archive.write(ctx, secondary, turn.ID, values)
 		}
 		if err == nil {
 			archive.kept.Inc(1)
@@ -213,54 +225,57 @@
 			return nil
 		}
 		if store.Is(err, store.FailureConflict) {
-			return archive.same(ctx, turn, parts)
+			return archive.verifyStored(ctx, turn, values)
 		}
 		if store.Is(err, store.FailureInvalid) {
 			return err
 		}
 		archive.retried.Inc(1)
-		if !clock.Sleep(ctx, firstPause/2+backoff.Next()) {
+		if !clock.Sleep(ctx, initialWriteDelay/2+backoff.Next()) {
 			return err
 		}
 	}
 }
 
-func (archive *Archive) write(ctx context.Context, partition, id string, parts [][]byte) error {
+// write stores the rows of a turn in one partition. It fails with
+// store.FailureConflict if the partition already has a turn with this ID.
+func (archive *Archive) write(ctx context.Context, partition, id string, values [][]byte) error {
 	tx := store.Transaction{Conditions: []store.Condition{{Key: store.Key{Table: table, Partition: partition, Name: rowName(id, 0)}}}}
-	for i, part := range parts {
-		tx.Puts = append(tx.Puts, store.Put{Key: store.Key{Table: table, Partition: partition, Name: rowName(id, i)}, Value: part})
+	for i, value := range values {
+		tx.Puts = append(tx.Puts, store.Put{Key: store.Key{Table: table, Partition: partition, Name: rowName(id, i)}, Value: value})
 	}
 	_, err := archive.store.Commit(ctx, tx)
 	return err
 }
 
-// same returns nil if the rows that stand are those of turn.
-func (archive *Archive) same(ctx context.Context, turn *history.Turn, parts [][]byte) error {
-	stand, err := archive.rows(ctx, turn.ID)
+// verifyStored returns nil if the stored rows with the ID of turn equal values,
+// and a *TurnConflictError if they differ.
+func (archive *Archive) verifyStored(ctx context.Context, turn *history.Turn, values [][]byte) error {
+	stored, err := archive.rows(ctx, turn.ID)
 	if err != nil {
 		return err
 	}
-	if !slices.EqualFunc(stand, parts, bytes.Equal) {
-		return &TakenError{id: turn.ID}
+	if !slices.EqualFunc(stored, values, bytes.Equal) {
+		return &TurnConflictError{id: turn.ID}
 	}
 	archive.kept.Inc(1)
 	archive.cache.put(turn)
 	return nil
 }
 
-// homes returns the two partitions that may hold a turn: its own, and the
-// one that it is kept in while its own is away.
-func homes(id string) (own, other string) {
+// turnPartitions returns the two partitions that may hold a turn: the primary
+// one, and the secondary one, which is used while the primary is unavailable.
+func turnPartitions(id string) (primary, secondary string) {
 	hash := xxhash.Sum64String(id)
-	at := hash % partitions
+	index := hash % partitions
 	step := 1 + hash/partitions%(partitions-1)
-	return partitionName(at), partitionName((at + step) % partitions)
+	return partitionName(index), partitionName((index + step) % partitions)
 }
 
-func partitionName(at uint64) string { return fmt.Sprintf("turn-%02d", at) }
+func partitionName(index uint64) string { return fmt.Sprintf("turn-%02d", index) }
 
-// rowName returns the name of row i of a turn. The rows of a turn follow one
-// another: '!' comes before all that a name may hold.
+// rowName returns the name of row i of a turn. All rows of a turn are adjacent in
+// the store's order, since '!' sorts before all characters that names contain.
 func rowName(id string, i int) string {
 	if i == 0 {
 		return store.Name(id)
@@ -268,5 +283,5 @@
 	return fmt.Sprintf("%s!%03d", store.Name(id), i)
 }
 
-// rowEnd returns the name after the last row of a turn.
+// rowEnd returns a name after the names of all rows of a turn.
 func rowEnd(id string) string { return store.Name(id) + "!~" }
--- a/archive/archive_test.go
+++ b/archive/archive_test.go
@@ -38,22 +38,22 @@
 	return ids
 }
 
-// Guards against one organisation's conversation being continued, or told
-// apart from one that does not exist, by another that guesses its turn's ID.
+// Guards against a caller that guesses the turn ID of another organisation and
+// continues its conversation, or finds out that the turn exists.
 func TestTurnOfAnotherOrganisationIsUnknown(t *testing.T) {
 	ctx := context.Background()
 	memory := storetest.New()
 	a := open(memory)
 	for _, owner := range []string{"", "x", "y"} {
-		kept := turn("of-" + owner)
-		kept.Organisation = owner
-		require.NoError(t, a.Keep(ctx, kept))
+		written := turn("of-" + owner)
+		written.Organisation = owner
+		require.NoError(t, a.Keep(ctx, written))
 	}
 	for _, reader := range []*archive.Archive{a, open(memory)} {
 		for _, owner := range []string{"", "x", "y"} {
-			for _, asker := range []string{"", "x", "y", "z"} {
-				chain, err := reader.Chain(ctx, asker, "of-"+owner, "")
-				if asker == owner {
+			for _, requester := range []string{"", "x", "y", "z"} {
+				chain, err := reader.Chain(ctx, requester, "of-"+owner, "")
+				if requester == owner {
 					require.NoError(t, err)
 					assert.Equal(t, []string{"of-" + owner}, ids(chain))
 					continue
@@ -66,7 +66,7 @@
 	}
 }
 
-func TestChainIsReadByAnotherInstance(t *testing.T) {
+func TestChainReadsTurnsWrittenByAnotherInstance(t *testing.T) {
 	ctx := context.Background()
 	memory := storetest.New()
 	a := open(memory)
@@ -82,44 +82,43 @@
 	assert.ErrorAs(t, err, &unknown)
 }
 
-// Symptom: a caller is told that a turn it saw the end of does not exist.
-// Events: the store, or the partition that holds the turn, is away when the
-// next turn comes. Cause: a read that failed was taken for a row that is
-// absent.
-func TestUnreadableTurnIsNotUnknown(t *testing.T) {
+// Guards against reporting a turn as unknown to a caller that received its end.
+// It happened when the store, or the partition of the turn, was unavailable at
+// the next turn, because a failed read was taken for a missing row.
+func TestChainReportsStoreErrorForUnreadableTurn(t *testing.T) {
 	ctx := context.Background()
 	memory := storetest.New()
 	require.NoError(t, open(memory).Keep(ctx, turn("t1")))
-	home := ""
+	primary := ""
 	memory.SetFault(func(op, partition string) storetest.Fault {
-		if op == "read" && home == "" {
-			home = partition
+		if op == "read" && primary == "" {
+			primary = partition
 		}
-		if op == "read" && partition == home {
+		if op == "read" && partition == primary {
 			return storetest.Refuse
 		}
 		return storetest.None
 	})
 	for _, id := range []string{"t1", "never"} {
-		home = ""
+		primary = ""
 		_, err := open(memory).Chain(ctx, "", id, "")
 		assert.True(t, store.Unserved(err), "%s: %v", id, err)
 	}
 }
 
-// Symptom: a third of the turns cannot be kept for seconds. Events: a third
-// of the store's partitions are away. Cause: a turn had one partition.
-func TestTurnIsKeptWhileItsPartitionIsAway(t *testing.T) {
+// Guards against failing to store a third of the turns for seconds while a third
+// of the store's partitions is unavailable, when each turn had one partition.
+func TestSaveUsesSecondaryPartitionWhenPrimaryUnavailable(t *testing.T) {
 	ctx := context.Background()
 	memory := storetest.New()
 	for i := range 40 {
 		id := fmt.Sprintf("t%d", i)
-		var away string
+		var unavailable string
 		memory.SetFault(func(_, partition string) storetest.Fault {
-			if away == "" {
-				away = partition
+			if unavailable == "" {
+				unavailable = partition
 			}
-			if partition == away {
+			if partition == unavailable {
 				return storetest.Refuse
 			}
 			return storetest.None
@@ -134,7 +133,7 @@
 	}
 }
 
-func TestKeepingAgainChangesNothing(t *testing.T) {
+func TestSaveIsIdempotent(t *testing.T) {
 	ctx := context.Background()
 	memory := storetest.New()
 	a := open(memory)
@@ -142,14 +141,14 @@
 	require.NoError(t, a.Keep(ctx, turn("t1")))
 	other := turn("t1")
 	other.Input = []byte("another")
-	var taken *archive.TakenError
-	require.ErrorAs(t, a.Keep(ctx, other), &taken)
+	var conflict *archive.TurnConflictError
+	require.ErrorAs(t, a.Keep(ctx, other), &conflict)
 	chain, err := open(memory).Chain(ctx, "", "t1", "")
 	require.NoError(t, err)
 	assert.Equal(t, "input of t1", string(chain[0].Input))
 }
 
-func TestLongTurnAndOddNames(t *testing.T) {
+func TestSaveLongTurnWithSpecialCharactersInID(t *testing.T) {
 	ctx := context.Background()
 	memory := storetest.New()
 	rng := rand.New(rand.NewPCG(1, 1))
@@ -164,71 +163,71 @@
 	assert.Equal(t, long.Input, chain[0].Input)
 }
 
-// keepInput and keepOutput are one operation on a turn, for the model of a
-// register that is written once.
-type keepInput struct {
-	keep bool
-	id   string
+// registerInput and registerOutput describe one operation on a turn, for the
+// model of a write-once register.
+type registerInput struct {
+	write bool
+	id    string
 }
 
-type keepOutput struct {
+type registerOutput struct {
 	found, unknown bool
 }
 
-var writeOnce = porcupine.Model{
+var writeOnceRegister = porcupine.Model{
 	Partition: func(history []porcupine.Operation) [][]porcupine.Operation {
 		byID := map[string][]porcupine.Operation{}
 		for _, op := range history {
-			id := op.Input.(keepInput).id
+			id := op.Input.(registerInput).id
 			byID[id] = append(byID[id], op)
 		}
-		var parts [][]porcupine.Operation
-		for _, part := range byID {
-			parts = append(parts, part)
+		var groups [][]porcupine.Operation
+		for _, group := range byID {
+			groups = append(groups, group)
 		}
-		return parts
+		return groups
 	},
 	Init: func() any { return false },
 	Step: func(state, input, output any) (bool, any) {
-		kept := state.(bool)
-		if input.(keepInput).keep {
+		written := state.(bool)
+		if input.(registerInput).write {
 			return true, true
 		}
-		out := output.(keepOutput)
-		return out.found && kept || out.unknown && !kept || !out.found && !out.unknown, kept
+		out := output.(registerOutput)
+		return out.found && written || out.unknown && !written || !out.found && !out.unknown, written
 	},
 }
 
-// TestTurnsAreLinearizable keeps and reads turns through instances without
-// memory while the store loses calls and answers: once a turn is kept, or
-// was read, no reader is told that it does not exist.
+// TestTurnsAreLinearizable writes and reads turns through instances without
+// caches while the store loses requests and responses. After a turn was written
+// or read, no reader may get an UnknownTurnError for it.
 func TestTurnsAreLinearizable(t *testing.T) {
 	for seed := range uint64(10) {
 		memory := storetest.New()
 		memory.SetFault(storetest.Random(rand.New(rand.NewPCG(seed, 3)), 0.3, storetest.Refuse, storetest.LoseAnswer, storetest.LoseCall))
 		var mu sync.Mutex
 		var ops []porcupine.Operation
-		began := time.Now()
+		started := time.Now()
 		var clients sync.WaitGroup
 		for client := range 8 {
 			clients.Go(func() {
 				draw := rand.New(rand.NewPCG(seed, uint64(client)))
 				for range 15 {
-					in := keepInput{keep: draw.IntN(3) == 0, id: fmt.Sprintf("t%d", draw.IntN(6))}
-					op := porcupine.Operation{ClientId: client, Input: in, Call: int64(time.Since(began))}
-					out := keepOutput{}
+					in := registerInput{write: draw.IntN(3) == 0, id: fmt.Sprintf("t%d", draw.IntN(6))}
+					op := porcupine.Operation{ClientId: client, Input: in, Call: int64(time.Since(started))}
+					out := registerOutput{}
 					ctx, cancel := context.WithTimeout(context.Background(), 50*time.Millisecond)
-					if in.keep {
+					if in.write {
 						out.found = open(memory).Keep(ctx, turn(in.id)) == nil
 					} else {
 						_, err := open(memory).Chain(ctx, "", in.id, "")
 						_, unknown := err.(*archive.UnknownTurnError)
-						out = keepOutput{found: err == nil, unknown: unknown}
+						out = registerOutput{found: err == nil, unknown: unknown}
 					}
 					cancel()
-					op.Output, op.Return = out, int64(time.Since(began))
-					if in.keep && !out.found {
-						// It may be done any time later.
+					op.Output, op.Return = out, int64(time.Since(started))
+					if in.write && !out.found {
+						// The write may be applied at any later time.
 						op.Return = int64(time.Hour)
 					}
 					mu.Lock()
@@ -238,6 +237,6 @@
 			})
 		}
 		clients.Wait()
-		assert.True(t, porcupine.CheckOperations(writeOnce, ops), "seed %d", seed)
+		assert.True(t, porcupine.CheckOperations(writeOnceRegister, ops), "seed %d", seed)
 	}
 }
--- a/archive/cache.go
+++ b/archive/cache.go
@@ -8,24 +8,26 @@
 	"github.com/wagtaildrum/wagtaildrum/history"
 )
 
-// cache holds turns used lately, up to a size in bytes.
+// cache holds recently used turns with a total size of up to maxBytes.
 type cache struct {
-	mu    sync.Mutex
-	turns *simplelru.LRU[string, *history.Turn]
-	size  int
-	most  int
+	mu       sync.Mutex
+	turns    *simplelru.LRU[string, *history.Turn]
+	size     int
+	maxBytes int
 }
 
-// cachedTurns bounds the number of turns, however small.
-const cachedTurns = 1 << 16
+// maxCachedTurns bounds the number of cached turns regardless of their size.
+const maxCachedTurns = 1 << 16
 
-func newCache(most int) *cache {
-	c := &cache{most: most}
-	// The size is a positive constant, the only thing NewLRU refuses.
-	c.turns, _ = simplelru.NewLRU(cachedTurns, func(_ string, turn *history.Turn) { c.size -= turn.Size() })
+// newCache returns an empty cache for turns of up to maxBytes in total.
+func newCache(maxBytes int) *cache {
+	c := &cache{maxBytes: maxBytes}
+	// NewLRU fails only for a size that isn't positive.
+	c.turns, _ = simplelru.NewLRU(maxCachedTurns, func(_ string, turn *history.Turn) { c.size -= turn.Size() })
 	return c
 }
 
+// get returns a turn, or nil if it isn't cached.
 func (c *cache) get(id string) *history.Turn {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -33,6 +35,7 @@
 	return turn
 }
 
+// put adds a turn and evicts the least recently used ones that exceed maxBytes.
 func (c *cache) put(turn *history.Turn) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -41,7 +44,7 @@
 	}
 	c.turns.Add(turn.ID, turn)
 	c.size += turn.Size()
-	for c.size > c.most && c.turns.Len() > 0 {
+	for c.size > c.maxBytes && c.turns.Len() > 0 {
 		c.turns.RemoveOldest()
 	}
 }
--- a/archive/doc.go
+++ b/archive/doc.go
@@ -1,5 +1,5 @@
-// Package archive keeps the turns of conversations in the durable store, and
-// the ones used lately in memory. A turn is kept before its caller learns of
-// its end, so that no failure of instances loses a turn that a caller may
-// continue from.
+// Package archive stores the turns of conversations in the durable store and
+// caches the recently used ones in memory. A turn is stored before its caller
+// receives the end of the response. A failure of instances therefore never loses
+// a turn that a caller may continue from.
 package archive
--- a/archive/peer.go
+++ b/archive/peer.go
@@ -9,40 +9,42 @@
 )
 
 const (
-	// peerTimeout bounds asking another instance for turns, and is what a turn
-	// waits longer at most if it does not answer. The store, which is read
-	// then, takes 4 ms a call, one after the other for the last turn and its
-	// ancestors.
+	// peerTimeout bounds a request for turns to another instance, and thereby
+	// the delay it adds if the instance doesn't respond. Reading the store
+	// instead takes 4 ms a call, in two sequential steps: the last turn, then
+	// its ancestors.
 	peerTimeout = 50 * time.Millisecond
-	// heldBytes bounds what another instance is given at once: what a link of
-	// 30 Mbit/s takes in 35 ms, so that it comes within peerTimeout. Turns are
-	// of some KB each.
-	heldBytes = 128 << 10
+	// maxHeldBytes bounds the turns returned in one response to another
+	// instance. A link of 30 Mbit/s transfers this much in 35 ms, which is
+	// within peerTimeout. Turns have a few KB each.
+	maxHeldBytes = 128 << 10
 )
 
-// Peers are the other instances, which hold turns in memory, too. The turns
-// of a program come through several instances, so that each would read the
-// whole conversation from the store: 55 calls for one of eleven turns.
+// Peers requests turns from the caches of the other instances. The turns of a
+// program are served by several instances, and without peers each instance would
+// read the complete conversation from the store: 55 calls for a conversation of
+// eleven turns.
 type Peers interface {
-	// Turns returns the turn of id and its ancestors, as far as the named
-	// instance holds them in memory.
+	// Turns returns the turn id and its ancestors, as far as the given instance
+	// has them in memory.
 	Turns(ctx context.Context, instance, id string) ([]Kept, error)
 }
 
-// Kept is a turn as the store keeps it: the values of its rows.
+// Kept is a turn in its stored form: its ID and the values of its rows.
 type Kept struct {
 	ID   string
 	Rows [][]byte
 }
 
-// Held returns the turn of id and its ancestors, as far as they are in memory
-// and heldBytes goes, the newest first. All of them are in the store.
+// Held returns the cached turns of the conversation that ends with the turn id,
+// newest first, up to maxHeldBytes in total. It returns nil if the turn id isn't
+// cached. All turns returned are also in the store.
 func (archive *Archive) Held(id string) []Kept {
 	last := archive.cache.get(id)
 	if last == nil {
 		return nil
 	}
-	var held []Kept
+	var cached []Kept
 	size := 0
 	for _, id := range slices.Backward(last.Chain()) {
 		turn := archive.cache.get(id)
@@ -51,38 +53,39 @@
 		}
 		rows, err := turn.Encode(archive.rowBytes)
 		if err != nil {
-			archive.log.Warn("turn not given to another instance", "turn", id, "err", err)
+			archive.log.Warn("turn not encoded for another instance; it will read the turn from the store", "turn", id, "err", err)
 			continue
 		}
 		for _, row := range rows {
 			size += len(row)
 		}
-		if size > heldBytes {
+		if size > maxHeldBytes {
 			break
 		}
-		held = append(held, Kept{ID: id, Rows: rows})
+		cached = append(cached, Kept{ID: id, Rows: rows})
 	}
-	return held
+	return cached
 }
 
-// fetch takes the turn of id and its ancestors into memory from holder. What
-// it does not get is read from the store.
+// fetch requests the turn id and its ancestors from the instance holder and adds
+// the turns received to the cache. The caller reads missing turns from the
+// store.
 func (archive *Archive) fetch(ctx context.Context, id, holder string) {
 	if holder == "" || archive.cache.get(id) != nil {
 		return
 	}
 	ctx, cancel := context.WithTimeout(ctx, peerTimeout)
 	defer cancel()
-	held, err := archive.peers.Turns(ctx, holder, id)
-	if err != nil || len(held) == 0 {
+	received, err := archive.peers.Turns(ctx, holder, id)
+	if err != nil || len(received) == 0 {
 		archive.missed.Inc(1)
-		archive.log.Debug("turns not had from another instance: the store is read", "turn", id, "instance", holder, "err", err)
+		archive.log.Debug("no turns from another instance; reading them from the store", "turn", id, "instance", holder, "err", err)
 		return
 	}
-	for _, kept := range held {
+	for _, kept := range received {
 		turn, err := history.Decode(kept.ID, kept.Rows)
 		if err != nil {
-			archive.log.Warn("turn from another instance refused: the store is read", "turn", kept.ID, "instance", holder, "err", err)
+			archive.log.Warn("cannot decode turn from another instance; reading it from the store", "turn", kept.ID, "instance", holder, "err", err)
 			continue
 		}
 		archive.fetched.Inc(1)
--- a/archive/peer_test.go
+++ b/archive/peer_test.go
@@ -21,7 +21,7 @@
 
 var errAbsent = errors.New("no such instance")
 
-// fleet is the archives of instances by name; they are asked directly.
+// fleet maps instance names to archives, and calls them directly as peers.
 type fleet map[string]*archive.Archive
 
 func (fleet fleet) Turns(_ context.Context, instance, id string) ([]archive.Kept, error) {
@@ -31,7 +31,7 @@
 	return fleet[instance].Held(id), nil
 }
 
-// countReads has memory count the reads of it.
+// countReads returns a counter of the reads from memory.
 func countReads(memory *storetest.Memory) *atomic.Int32 {
 	var reads atomic.Int32
 	memory.SetFault(func(op, _ string) storetest.Fault {
@@ -43,35 +43,36 @@
 	return &reads
 }
 
-// converse keeps a conversation of some turns, each at the next instance, and
-// returns the last chain.
-func converse(t *testing.T, instances []*archive.Archive, turns int, known bool) []*history.Turn {
+// converse stores a conversation of the given number of turns, each through the
+// next instance, and returns the last chain read. If passHolder is set,
+// each chain is read with the instance of the previous turn as holder.
+func converse(t *testing.T, instances []*archive.Archive, turns int, passHolder bool) []*history.Turn {
 	t.Helper()
 	ctx := context.Background()
 	var chain []*history.Turn
 	for n := range turns {
-		at, before := instances[n%len(instances)], ""
-		if known && n > 0 {
-			before = fmt.Sprint((n - 1) % len(instances))
+		instance, holder := instances[n%len(instances)], ""
+		if passHolder && n > 0 {
+			holder = fmt.Sprint((n - 1) % len(instances))
 		}
 		next := turn(fmt.Sprintf("t%02d", n))
 		if n > 0 {
 			var err error
-			chain, err = at.Chain(ctx, "", fmt.Sprintf("t%02d", n-1), before)
+			chain, err = instance.Chain(ctx, "", fmt.Sprintf("t%02d", n-1), holder)
 			require.NoError(t, err)
 			next.Ancestors = chain[len(chain)-1].Chain()
 		}
-		require.NoError(t, at.Keep(ctx, next))
+		require.NoError(t, instance.Keep(ctx, next))
 	}
 	return chain
 }
 
-// Symptom: a third of all calls to the store read turns, more the more
-// instances there are. Events: each turn of a conversation comes through
-// another instance, which reads all the turns before it, a call each: 55 for
-// eleven turns. Cause: an instance looked in its own memory only, though the
-// one that served the turn before has the whole conversation.
-func TestConversationIsHadFromInstanceThatServedIt(t *testing.T) {
+// Guards against store reads of turns that make up a third of all calls to the
+// store and grow with the number of instances. Each turn of a conversation was
+// served by another instance, which read all earlier turns with one call each, 55
+// for eleven turns, because instances used only their own cache although the
+// instance of the previous turn had cached the complete conversation.
+func TestChainFetchesTurnsFromPeer(t *testing.T) {
 	const turns = 11
 	memory := storetest.New()
 	reads, all := countReads(memory), fleet{}
@@ -86,56 +87,58 @@
 		assert.Equal(t, fmt.Sprintf("t%02d", n), turn.ID)
 		assert.Equal(t, "input of "+turn.ID, string(turn.Input))
 	}
-	assert.Zero(t, reads.Load(), "the store was read")
+	assert.Zero(t, reads.Load(), "reads from the store")
 }
 
-// Symptom: a turn is refused as unknown, or waits. Events: the instance that
-// served the one before is gone, has the conversation no more, hands out bytes
-// that are none, or does not answer. Cause it guards against: taking another
-// instance's word, or its silence, for the store's.
-func TestStoreIsReadForWhatNoInstanceHas(t *testing.T) {
+// Guards against rejecting a turn as unknown, or delaying it, because of a faulty
+// peer: the instance that served the previous turn is stopped, has evicted the
+// conversation, returns invalid bytes or only some turns, or doesn't respond. The
+// store must be read in all these cases.
+func TestChainReadsStoreWhenPeerFails(t *testing.T) {
 	memory := storetest.New()
 	converse(t, []*archive.Archive{open(memory)}, 4, false)
 	empty := open(memory)
 	for name, peers := range map[string]archive.Peers{
-		"gone": fleet{}, "forgot": fleet{"x": empty}, "garbled": garbled{}, "part": part{}, "silent": silent{},
+		"stopped": fleet{}, "evicted": fleet{"x": empty}, "garbled": garbledPeers{}, "partial": partialPeers{}, "silent": silentPeers{},
 	} {
-		began := time.Now()
+		started := time.Now()
 		chain, err := openIn(memory, peers).Chain(context.Background(), "", "t03", "x")
 		require.NoError(t, err, name)
 		assert.Equal(t, []string{"t00", "t01", "t02", "t03"}, ids(chain), name)
-		assert.Less(t, time.Since(began), time.Second, name)
+		assert.Less(t, time.Since(started), time.Second, name)
 		_, err = openIn(memory, peers).Chain(context.Background(), "", "never", "x")
 		var unknown *archive.UnknownTurnError
 		assert.ErrorAs(t, err, &unknown, name)
 	}
 }
 
-type garbled struct{}
+// garbledPeers returns a turn that cannot be decoded.
+type garbledPeers struct{}
 
-func (garbled) Turns(context.Context, string, string) ([]archive.Kept, error) {
+func (garbledPeers) Turns(context.Context, string, string) ([]archive.Kept, error) {
 	return []archive.Kept{{ID: "t03", Rows: [][]byte{[]byte("no turn")}}}, nil
 }
 
-// part has an ancestor only.
-type part struct{}
+// partialPeers returns an ancestor of the turn only.
+type partialPeers struct{}
 
-func (part) Turns(context.Context, string, string) ([]archive.Kept, error) {
+func (partialPeers) Turns(context.Context, string, string) ([]archive.Kept, error) {
 	rows, err := turn("t01", "t00").Encode(64 << 10)
 	return []archive.Kept{{ID: "t01", Rows: rows}}, err
 }
 
-type silent struct{}
+// silentPeers never responds.
+type silentPeers struct{}
 
-func (silent) Turns(ctx context.Context, _, _ string) ([]archive.Kept, error) {
+func (silentPeers) Turns(ctx context.Context, _, _ string) ([]archive.Kept, error) {
 	<-ctx.Done()
 	return nil, ctx.Err()
 }
 
-// What another instance is given is bounded, and begins with the newest turn:
-// a link of 30 Mbit/s must not be taken by one conversation. A turn that the
-// store did not take is given to nobody.
-func TestInstanceGivesNewestTurnsThatAreKept(t *testing.T) {
+// Checks that the turns for another instance are bounded in size and start with
+// the newest one, so that one conversation doesn't occupy a link of 30 Mbit/s, and
+// that a turn the store didn't accept is never returned.
+func TestCachedTurnsForPeerAreNewestAndStored(t *testing.T) {
 	ctx := context.Background()
 	memory := storetest.New()
 	a := open(memory)
@@ -146,27 +149,27 @@
 		chain = append(chain, long.ID)
 		require.NoError(t, a.Keep(ctx, long))
 	}
-	held := a.Held("t7")
+	cached := a.Held("t7")
 	size := 0
-	for n, kept := range held {
+	for n, kept := range cached {
 		assert.Equal(t, fmt.Sprintf("t%d", 7-n), kept.ID)
 		for _, row := range kept.Rows {
 			size += len(row)
 		}
 	}
-	assert.Greater(t, len(held), 4)
+	assert.Greater(t, len(cached), 4)
 	assert.LessOrEqual(t, size, 128<<10)
-	assert.Less(t, len(held), len(chain))
+	assert.Less(t, len(cached), len(chain))
 	memory.SetFault(func(string, string) storetest.Fault { return storetest.Refuse })
-	short, cancel := context.WithTimeout(ctx, 50*time.Millisecond)
+	callCtx, cancel := context.WithTimeout(ctx, 50*time.Millisecond)
 	defer cancel()
-	require.True(t, store.Unserved(a.Keep(short, turn("t8", chain...))))
+	require.True(t, store.Unserved(a.Keep(callCtx, turn("t8", chain...))))
 	assert.Empty(t, a.Held("t8"))
 }
 
 var rng = rand.New(rand.NewPCG(1, 2))
 
-// randomText returns text that compression makes a quarter shorter at most.
+// randomText returns text that compresses by at most a quarter.
 func randomText(size int) string {
 	var text strings.Builder
 	for text.Len() < size {
