--- a/history/bench_test.go
+++ b/history/bench_test.go
@@ -16,8 +16,8 @@
 	return turn
 }
 
-// A turn of 1,700 tokens in and 10 events out, as kept and as given to other
-// instances.
+// BenchmarkTurnEncode encodes a turn of 1,700 input tokens and 10 events, as
+// for the store and for other instances.
 func BenchmarkTurnEncode(b *testing.B) {
 	turn := longTurn()
 	b.ReportAllocs()
@@ -28,7 +28,8 @@
 	}
 }
 
-// The same turn, as read from the store or had from another instance.
+// BenchmarkTurnDecode decodes the same turn, as read from the store or received
+// from another instance.
 func BenchmarkTurnDecode(b *testing.B) {
 	rows, err := longTurn().Encode(64 << 10)
 	if err != nil {
--- a/history/doc.go
+++ b/history/doc.go
@@ -1,5 +1,6 @@
-// Package history holds what programs and engines said to each other: a turn
-// is a request's new input and the answer's events, and names the turn that
-// it continues. A conversation is rebuilt from its turns, byte for byte. The
-// package does no input or output.
+// Package history defines the turns of a conversation between a program and
+// engines. A turn holds the new input of a request and the events of the
+// response, and names the turns that it continues. The prompt of a conversation
+// is rebuilt from its turns byte for byte. The package performs no input or
+// output.
 package history
--- a/history/turn.go
+++ b/history/turn.go
@@ -12,21 +12,22 @@
 	"github.com/wagtaildrum/wagtaildrum/codec"
 )
 
-// Turn is one turn of a conversation, as kept.
+// Turn is one turn of a conversation.
 type Turn struct {
-	// ID is the request that made the turn.
+	// ID is the ID of the request that created the turn.
 	ID string
-	// Organisation is the one whose caller made the turn; empty for none.
+	// Organisation is the organisation of the caller that created the turn, or
+	// empty if it has none.
 	Organisation string
-	// Ancestors are the turns before it, oldest first.
+	// Ancestors are the IDs of the turns that this one continues, oldest first.
 	Ancestors []string
-	// Input is what the request carried, Events the data of each event of
-	// the answer.
+	// Input is the new input of the request, and Events the data of each event
+	// of the response.
 	Input  []byte
 	Events [][]byte
 }
 
-// Size returns about how much memory the turn holds, in bytes.
+// Size returns the approximate memory used by the turn, in bytes.
 func (turn *Turn) Size() int {
 	size := len(turn.Input) + len(turn.ID) + len(turn.Organisation)
 	for _, event := range turn.Events {
@@ -38,17 +39,18 @@
 	return size
 }
 
-// Chain returns the IDs of a turn that continues this one: its ancestors
-// and itself.
+// Chain returns the ancestors of a turn that continues this one: the ancestors
+// of this turn and its own ID.
 func (turn *Turn) Chain() []string {
 	chain := make([]string, 0, len(turn.Ancestors)+1)
 	chain = append(chain, turn.Ancestors...)
 	return append(chain, turn.ID)
 }
 
-// Prompt returns what an engine is sent for input after the turns of chain,
-// oldest first: for each its input, then the data of each event and a line
-// feed; then input.
+// Prompt returns the prompt sent to an engine for input that continues the
+// turns of chain, which are oldest first. For each turn it has the turn's
+// input, then the data of each event followed by a line feed; the new input
+// comes last.
 func Prompt(chain []*Turn, input []byte) []byte {
 	size := len(input)
 	for _, turn := range chain {
@@ -65,7 +67,7 @@
 	return append(prompt, input...)
 }
 
-// record is the encoded form of a Turn; its ID is the row's name.
+// record is the encoded form of a Turn. The ID is the name of the row instead.
 type record struct {
 	Organisation string   `cbor:"o,omitempty"`
 	Ancestors    []string `cbor:"a"`
@@ -73,108 +75,117 @@
 	Events       [][]byte `cbor:"e"`
 }
 
-// partHeader is the start of each row of a turn, in bytes: the row's number
-// and the last one's.
-const partHeader = 2
+// rowHeaderBytes is the size of the header of each row of a turn: one byte for
+// the index of the row and one for the index of the last row.
+const rowHeaderBytes = 2
 
-// maxParts is the most rows that one turn is split into: what partHeader
-// can count, far above the body limit of any deployment.
-const maxParts = 255
+// maxRows is the maximum number of rows of one turn. It is the range of the row
+// header and allows for turns far above the body limit of any deployment.
+const maxRows = 255
 
-// maxPlain bounds a turn before it is compressed, in bytes: four times the
-// largest input taken where a configuration names no limit. A row of 64 KB can
-// inflate to 64 MB, more than half of the memory of a small instance.
-const maxPlain = 16 << 20
+// maxUncompressedBytes bounds the encoding of a turn before compression. It is
+// four times the largest input accepted if the configuration sets no limit.
+// Without a bound, a row of 64 KB can decompress to 64 MB, more than half of
+// the memory of a small instance.
+const maxUncompressedBytes = 16 << 20
 
-// TooLargeError is a turn that is too large to be kept, or read.
+// TooLargeError is returned for a turn that is too large to be stored or
+// decoded.
 type TooLargeError struct {
 	id string
-	// what is too large, size how large it is at least.
-	what string
+	// size is the size of the turn, or a lower bound of it, in unit: "events",
+	// "bytes" or "rows".
+	unit string
 	size int
 }
 
-// Error tells what is too large, and the size.
+// Error returns a message with the ID of the turn and its size.
 func (e *TooLargeError) Error() string {
-	return fmt.Sprintf("turn %s is too large: %d %s", e.id, e.size, e.what)
+	return fmt.Sprintf("turn %s is too large: %d %s", e.id, e.size, e.unit)
 }
 
-// Encode returns the values of the rows that keep turn, each of at most
-// rowBytes. It returns a *TooLargeError if they are too many.
+// Encode returns the values of the rows that store turn, each of at most
+// rowBytes bytes. It returns a *TooLargeError if the turn has too many events,
+// its encoding is longer than maxUncompressedBytes, or it needs more than
+// maxRows rows.
 func (turn *Turn) Encode(rowBytes int) ([][]byte, error) {
 	if len(turn.Events) > codec.MaxElements {
-		return nil, &TooLargeError{id: turn.ID, size: len(turn.Events), what: "events"}
+		return nil, &TooLargeError{id: turn.ID, size: len(turn.Events), unit: "events"}
 	}
 	plain, err := codec.Marshal(&record{Organisation: turn.Organisation, Ancestors: turn.Ancestors, Input: turn.Input, Events: turn.Events})
 	if err != nil {
 		return nil, eris.Wrap(err, "encode turn")
 	}
-	if len(plain) > maxPlain {
-		return nil, &TooLargeError{id: turn.ID, size: len(plain), what: "bytes"}
+	if len(plain) > maxUncompressedBytes {
+		return nil, &TooLargeError{id: turn.ID, size: len(plain), unit: "bytes"}
 	}
-	data, err := deflate(plain)
+	data, err := compress(plain)
 	if err != nil {
 		return nil, err
 	}
-	most := rowBytes - partHeader
-	count := max((len(data)+most-1)/most, 1)
-	if count > maxParts {
-		return nil, &TooLargeError{id: turn.ID, size: count, what: "rows"}
+	maxChunk := rowBytes - rowHeaderBytes
+	count := max((len(data)+maxChunk-1)/maxChunk, 1)
+	if count > maxRows {
+		return nil, &TooLargeError{id: turn.ID, size: count, unit: "rows"}
 	}
-	parts := make([][]byte, 0, count)
+	rows := make([][]byte, 0, count)
 	for i := range count {
-		chunk := data[i*most : min((i+1)*most, len(data))]
-		part := append(make([]byte, 0, len(chunk)+partHeader), byte(i), byte(count-1))
-		parts = append(parts, append(part, chunk...))
+		chunk := data[i*maxChunk : min((i+1)*maxChunk, len(data))]
+		row := append(make([]byte, 0, len(chunk)+rowHeaderBytes), byte(i), byte(count-1))
+		rows = append(rows, append(row, chunk...))
 	}
-	return parts, nil
+	return rows, nil
 }
 
-// IncompleteError is a turn some of whose rows are missing.
+// IncompleteError is returned for a turn with missing or misplaced rows.
 type IncompleteError struct {
 	id string
 }
 
-// Error names the turn.
+// Error returns a message with the ID of the turn.
 func (e *IncompleteError) Error() string { return "turn " + e.id + ": rows missing" }
 
-// Decode rebuilds a turn from the values of its rows, in order.
-func Decode(id string, parts [][]byte) (*Turn, error) {
+// Decode returns the turn encoded in the values of its rows, which must be in
+// order. It returns an *IncompleteError if rows are missing, a *TooLargeError
+// if the encoding is longer than maxUncompressedBytes, and another error if the
+// rows cannot be decompressed or decoded.
+func Decode(id string, rows [][]byte) (*Turn, error) {
 	var data []byte
-	for i, part := range parts {
-		if len(part) < partHeader || int(part[0]) != i || int(part[1]) != len(parts)-1 {
+	for i, row := range rows {
+		if len(row) < rowHeaderBytes || int(row[0]) != i || int(row[1]) != len(rows)-1 {
 			return nil, &IncompleteError{id: id}
 		}
-		data = append(data, part[partHeader:]...)
+		data = append(data, row[rowHeaderBytes:]...)
 	}
-	if len(parts) == 0 {
+	if len(rows) == 0 {
 		return nil, &IncompleteError{id: id}
 	}
-	plain, err := inflate(data)
+	plain, err := decompress(data)
 	if err != nil {
-		return nil, eris.Wrapf(err, "turn %s", id)
+		return nil, eris.Wrapf(err, "decompress turn %s", id)
 	}
-	if len(plain) > maxPlain {
-		return nil, &TooLargeError{id: id, size: len(plain), what: "bytes"}
+	if len(plain) > maxUncompressedBytes {
+		return nil, &TooLargeError{id: id, size: len(plain), unit: "bytes"}
 	}
 	var rec record
 	if err := codec.Unmarshal(plain, &rec); err != nil {
-		return nil, eris.Wrapf(err, "turn %s", id)
+		return nil, eris.Wrapf(err, "decode turn %s", id)
 	}
 	return &Turn{ID: id, Organisation: rec.Organisation, Ancestors: rec.Ancestors, Input: rec.Input, Events: rec.Events}, nil
 }
 
-// deflaters are writers to use again: a new one takes more memory than most
-// turns, and more time than compressing one.
-var deflaters = sync.Pool{New: func() any {
-	// BestSpeed is a known level, the only thing NewWriter refuses otherwise.
+// writerPool holds writers for reuse: a new writer takes more memory than most
+// turns, and creating it takes longer than compressing one.
+var writerPool = sync.Pool{New: func() any {
+	// NewWriter fails only for an unknown compression level.
 	w, _ := flate.NewWriter(io.Discard, flate.BestSpeed)
 	return w
 }}
 
-func deflate(plain []byte) ([]byte, error) {
-	w := deflaters.Get().(*flate.Writer)
-	defer deflaters.Put(w)
+// compress returns plain in DEFLATE format.
+func compress(plain []byte) ([]byte, error) {
+	w := writerPool.Get().(*flate.Writer)
+	defer writerPool.Put(w)
 	var buf bytes.Buffer
 	w.Reset(&buf)
 	if _, err := w.Write(plain); err != nil {
@@ -186,20 +197,22 @@
 	return buf.Bytes(), nil
 }
 
-// inflater is a reader to use again.
-type inflater interface {
+// resettableReader is the interface of the readers in readerPool.
+type resettableReader interface {
 	io.Reader
 	flate.Resetter
 }
 
-var inflaters = sync.Pool{New: func() any { return flate.NewReader(bytes.NewReader(nil)) }}
+// readerPool holds readers for reuse.
+var readerPool = sync.Pool{New: func() any { return flate.NewReader(bytes.NewReader(nil)) }}
 
-// inflate stops after maxPlain bytes and one more.
-func inflate(data []byte) ([]byte, error) {
-	r := inflaters.Get().(inflater)
-	defer inflaters.Put(r)
+// decompress returns the decompressed data, but at most maxUncompressedBytes +
+// 1 bytes, enough for the caller to detect that the data is too long.
+func decompress(data []byte) ([]byte, error) {
+	r := readerPool.Get().(resettableReader)
+	defer readerPool.Put(r)
 	if err := r.Reset(bytes.NewReader(data), nil); err != nil {
 		return nil, err
 	}
-	return io.ReadAll(io.LimitReader(r, maxPlain+1))
+	return io.ReadAll(io.LimitReader(r, maxUncompressedBytes+1))
 }
--- a/history/turn_test.go
+++ b/history/turn_test.go
@@ -19,7 +19,7 @@
 	"github.com/wagtaildrum/wagtaildrum/history"
 )
 
-func TestPromptRepeatsChainByteForByte(t *testing.T) {
+func TestPromptContainsChainByteForByte(t *testing.T) {
 	first := &history.Turn{ID: "a", Input: []byte("question\r\n"), Events: [][]byte{[]byte("one"), {}, []byte("two\nlines")}}
 	second := &history.Turn{ID: "b", Ancestors: first.Chain(), Input: []byte("more"), Events: [][]byte{[]byte("three")}}
 	assert.Equal(t, "question\r\none\n\ntwo\nlines\nmorethree\nlast", string(history.Prompt([]*history.Turn{first, second}, []byte("last"))))
@@ -27,7 +27,7 @@
 	assert.Equal(t, "alone", string(history.Prompt(nil, []byte("alone"))))
 }
 
-func TestTurnSurvivesItsRows(t *testing.T) {
+func TestEncodeDecodeRoundTrip(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 2))
 	input := make([]byte, 200_000)
 	for i := range input {
@@ -35,12 +35,12 @@
 	}
 	for _, size := range []int{0, 1, 17_000, 200_000} {
 		turn := &history.Turn{ID: "t", Ancestors: []string{"a", "b"}, Input: input[:size], Events: [][]byte{[]byte("x"), []byte("y")}}
-		parts, err := turn.Encode(45_000)
+		rows, err := turn.Encode(45_000)
 		require.NoError(t, err)
-		for _, part := range parts {
-			assert.LessOrEqual(t, len(part), 45_000)
+		for _, row := range rows {
+			assert.LessOrEqual(t, len(row), 45_000)
 		}
-		got, err := history.Decode("t", parts)
+		got, err := history.Decode("t", rows)
 		require.NoError(t, err)
 		assert.True(t, bytes.Equal(turn.Input, got.Input))
 		assert.Equal(t, turn.Events, got.Events)
@@ -48,21 +48,20 @@
 	}
 }
 
-// Symptom: an engine is sent half a conversation. Events: of the rows of a
-// long turn only some are read. Cause: a turn did not know how many rows it
-// has.
-func TestMissingRowsAreNoticed(t *testing.T) {
+// Guards against sending an engine an incomplete conversation after only some
+// of the rows of a long turn were read, when rows didn't record their number.
+func TestDecodeRejectsMissingRows(t *testing.T) {
 	rng := rand.New(rand.NewPCG(3, 4))
 	input := make([]byte, 10_000)
 	for i := range input {
 		input[i] = byte(rng.Uint32())
 	}
 	turn := &history.Turn{ID: "t", Input: input}
-	parts, err := turn.Encode(2_000)
+	rows, err := turn.Encode(2_000)
 	require.NoError(t, err)
-	require.Greater(t, len(parts), 3)
-	for _, some := range [][][]byte{parts[:len(parts)-1], parts[1:], {}} {
-		_, err := history.Decode("t", some)
+	require.Greater(t, len(rows), 3)
+	for _, incompleteRows := range [][][]byte{rows[:len(rows)-1], rows[1:], {}} {
+		_, err := history.Decode("t", incompleteRows)
 		var incomplete *history.IncompleteError
 		assert.ErrorAs(t, err, &incomplete)
 	}
@@ -71,12 +70,11 @@
 	assert.True(t, errors.As(err, &tooLarge))
 }
 
-// Symptom: an instance of 112 MB is killed as it reads a conversation. Events:
-// a row of 64 KB holds a turn that inflates to 64 MB. Cause: a turn was
-// inflated to its end, however long. At most maxPlain and what the reader's
-// buffer grows by, 64 MB in all over its growth, are allocated for one that
-// would be 1 GB.
-func TestTurnThatInflatesWithoutEndIsRefused(t *testing.T) {
+// Guards against an instance of 112 MB that is killed when it reads a row of 64
+// KB that decompresses to 64 MB, because decompression was not bounded.
+// Decoding this row, which decompresses to 1 GB, allocates at most
+// maxUncompressedBytes and the growth of the reader's buffer, 64 MB in total.
+func TestDecodeLimitsDecompressedSize(t *testing.T) {
 	var row bytes.Buffer
 	row.Write([]byte{0, 0})
 	w, err := flate.NewWriter(&row, flate.BestSpeed)
@@ -96,9 +94,9 @@
 	assert.Less(t, after.TotalAlloc-before.TotalAlloc, uint64(128<<20))
 }
 
-// What could not be read back is not kept: a caller that was told the end of
-// a turn finds it.
-func TestTurnThatCannotBeReadIsNotKept(t *testing.T) {
+// Guards against storing a turn that cannot be decoded again: its caller, which
+// received the end of the turn, must be able to continue from it.
+func TestEncodeRejectsUndecodableTurn(t *testing.T) {
 	for _, turn := range []*history.Turn{
 		{ID: "t", Input: make([]byte, 17<<20)},
 		{ID: "t", Events: make([][]byte, 1<<16+1)},
@@ -107,17 +105,17 @@
 		var tooLarge *history.TooLargeError
 		assert.ErrorAs(t, err, &tooLarge)
 	}
-	most := &history.Turn{ID: "t", Events: make([][]byte, 1<<16)}
-	parts, err := most.Encode(45_000)
+	largest := &history.Turn{ID: "t", Events: make([][]byte, 1<<16)}
+	rows, err := largest.Encode(45_000)
 	require.NoError(t, err)
-	_, err = history.Decode("t", parts)
+	_, err = history.Decode("t", rows)
 	assert.NoError(t, err)
 }
 
 func FuzzDecode(f *testing.F) {
-	parts, err := (&history.Turn{ID: "t", Input: []byte("x")}).Encode(100)
+	rows, err := (&history.Turn{ID: "t", Input: []byte("x")}).Encode(100)
 	require.NoError(f, err)
-	f.Add(parts[0], []byte{})
+	f.Add(rows[0], []byte{})
 	f.Add([]byte{1, 2}, []byte{0, 9})
 	f.Fuzz(func(_ *testing.T, a, b []byte) {
 		_, _ = history.Decode("t", [][]byte{a, b}) // must not panic
@@ -131,11 +129,11 @@
 	// Output: "hello hi\nbye"
 }
 
-// Symptom it guards against: a turn is read with the bytes of another, or
-// refused though its rows are whole. Events: many turns are written and read at
-// once, among them rows that are broken. Cause it guards against: compressors
-// are used again, also those that have just failed.
-func TestTurnsAtOnceKeepApart(t *testing.T) {
+// Guards against a turn that is decoded with the bytes of another turn, or
+// rejected although its rows are complete. Turns are encoded and decoded
+// concurrently, with corrupted rows among them, since compressors and
+// decompressors are reused even after an error.
+func TestConcurrentEncodeAndDecode(t *testing.T) {
 	var readers sync.WaitGroup
 	for n := range 8 {
 		readers.Go(func() {
@@ -149,21 +147,21 @@
 				broken[0] = append([]byte{broken[0][0], broken[0][1]}, "no compressed bytes"...)
 				_, err = history.Decode("t", broken)
 				assert.Error(t, err)
-				read, err := history.Decode("t", rows)
+				decoded, err := history.Decode("t", rows)
 				if !assert.NoError(t, err) {
 					return
 				}
-				assert.Equal(t, turn.Input, read.Input)
-				assert.Equal(t, turn.Events, read.Events)
+				assert.Equal(t, turn.Input, decoded.Input)
+				assert.Equal(t, turn.Events, decoded.Events)
 			}
 		})
 	}
 	readers.Wait()
 }
 
-// Guards against conversations that are lost to a new version of the program:
-// a row written before turns named their organisation.
-func TestRowOfEarlierVersionIsRead(t *testing.T) {
+// Guards against losing conversations in an update of the program: the row was
+// written by a version whose turns had no organisation.
+func TestDecodeRowOfEarlierVersion(t *testing.T) {
 	row, err := hex.DecodeString("0000001900e6ffa3616181616161694568656c6c6f616582436f6e654374776f010000ffff")
 	require.NoError(t, err)
 	turn, err := history.Decode("b", [][]byte{row})
