--- a/codec/codec.go
+++ b/codec/codec.go
@@ -1,7 +1,8 @@
-// Package codec encodes, as CBOR, what instances keep in the store and what
-// they send each other. What is read from there may be anything: a row of
-// another writer, a row that was cut, a message of a later version. Decoding
-// it takes memory in proportion to its length, whatever it claims to hold.
+// Package codec encodes and decodes, as CBOR, the values that instances write
+// to the store and send to each other. Input to decode is not trusted: it may
+// be a row of another writer, a truncated row or a message of a later version.
+// Decoding uses memory in proportion to the length of the input, whatever
+// lengths the input declares.
 package codec
 
 import (
@@ -12,20 +13,21 @@
 )
 
 const (
-	// MaxElements bounds each list and each map of a value. The largest are
-	// the events of one answer, and 65,536 of them take 1.5 MB before their
-	// data.
+	// MaxElements is the maximum number of elements of each list and each map.
+	// The largest lists are the events of one response; 65,536 of them take 1.5
+	// MB without their data.
 	MaxElements = 1 << 16
-	// maxDepth bounds how deep values nest; no type here needs more than six.
-	// A decoder that follows deeper ones takes stack for each.
+	// maxDepth is the maximum nesting depth. No type of this project needs more
+	// than six levels, and a decoder uses stack for each level.
 	maxDepth = 16
 )
 
-// The decoder looks at the whole encoding, without making room for any of it,
-// before it decodes: a list that claims more elements than bytes follow is
-// refused there. A decoder that makes room for what the head of a list claims
-// took 3 GB for a row of eight bytes, which ends an instance of 112 MB.
-var decoding = mustMode(cbor.DecOptions{
+// decMode is the decoding mode for all input. Its decoder validates the
+// complete input before it allocates memory, and rejects a list that declares
+// more elements than bytes follow. A decoder that allocated memory for the
+// declared length took 3 GB for a row of eight bytes, which crashes an instance
+// of 112 MB.
+var decMode = mustDecMode(cbor.DecOptions{
 	MaxArrayElements: MaxElements,
 	MaxMapPairs:      MaxElements,
 	MaxNestedLevels:  maxDepth,
@@ -33,8 +35,9 @@
 	TagsMd:           cbor.TagsForbidden,
 })
 
-// mustMode returns the decoder of constant options; only wrong ones fail.
-func mustMode(options cbor.DecOptions) cbor.DecMode {
+// mustDecMode returns the decoding mode for constant options. It panics if they
+// are invalid.
+func mustDecMode(options cbor.DecOptions) cbor.DecMode {
 	mode, err := options.DecMode()
 	if err != nil {
 		panic(err)
@@ -42,40 +45,40 @@
 	return mode
 }
 
-// Marshal returns the encoding of value. Lists and maps of more than
-// MaxElements are encoded, but cannot be decoded.
+// Marshal returns the encoding of value. It encodes lists and maps of more than
+// MaxElements elements, but Unmarshal rejects them.
 func Marshal(value any) ([]byte, error) {
 	data, err := cbor.Marshal(value)
 	return data, eris.Wrap(err, "encode")
 }
 
-// Unmarshal decodes data, which must hold one value and nothing more, into
-// the value that into points to.
-func Unmarshal(data []byte, into any) error {
-	return eris.Wrap(decoding.Unmarshal(data, into), "decode")
+// Unmarshal decodes data into the value that dst points to. It fails if data
+// holds anything but exactly one valid value within the limits of this package.
+func Unmarshal(data []byte, dst any) error {
+	return eris.Wrap(decMode.Unmarshal(data, dst), "decode")
 }
 
-// Encoder writes values one after another.
+// Encoder writes a sequence of values.
 type Encoder struct{ encoder *cbor.Encoder }
 
-// NewEncoder returns an encoder that writes to w.
+// NewEncoder returns an Encoder that writes to w.
 func NewEncoder(w io.Writer) *Encoder { return &Encoder{encoder: cbor.NewEncoder(w)} }
 
-// Encode writes one value.
+// Encode writes the encoding of one value.
 func (encoder *Encoder) Encode(value any) error {
 	return eris.Wrap(encoder.encoder.Encode(value), "encode")
 }
 
-// Decoder reads values one after another.
+// Decoder reads a sequence of values.
 type Decoder struct{ decoder *cbor.Decoder }
 
-// NewDecoder returns a decoder that reads from r.
-func NewDecoder(r io.Reader) *Decoder { return &Decoder{decoder: decoding.NewDecoder(r)} }
+// NewDecoder returns a Decoder that reads from r.
+func NewDecoder(r io.Reader) *Decoder { return &Decoder{decoder: decMode.NewDecoder(r)} }
 
-// Decode reads the next value into the one that into points to. It returns
-// io.EOF if there is none.
-func (decoder *Decoder) Decode(into any) error {
-	err := decoder.decoder.Decode(into)
+// Decode reads the next value into the value that dst points to. It returns
+// io.EOF at the end of the input.
+func (decoder *Decoder) Decode(dst any) error {
+	err := decoder.decoder.Decode(dst)
 	if err == io.EOF {
 		return io.EOF
 	}
--- a/codec/codec_test.go
+++ b/codec/codec_test.go
@@ -13,17 +13,17 @@
 	"github.com/wagtaildrum/wagtaildrum/codec"
 )
 
-// kept has the shapes of what is kept and sent: lists of bytes, maps of
-// structures, nested lists.
-type kept struct {
+// sample has the kinds of fields that stored and sent values have: lists of
+// bytes, maps of structures and nested values.
+type sample struct {
 	Names  []string            `cbor:"a"`
 	Input  []byte              `cbor:"i"`
 	Events [][]byte            `cbor:"e"`
 	Sums   map[string]struct{} `cbor:"s"`
-	Next   *kept               `cbor:"n"`
+	Next   *sample             `cbor:"n"`
 }
 
-// allocated returns how many bytes f allocates.
+// allocated returns the number of bytes allocated by f.
 func allocated(f func()) uint64 {
 	var before, after runtime.MemStats
 	runtime.ReadMemStats(&before)
@@ -32,8 +32,9 @@
 	return after.TotalAlloc - before.TotalAlloc
 }
 
-// hostile are encodings that claim what they do not hold.
-func hostile() map[string][]byte {
+// malformedInputs returns inputs, by name, that declare more elements than they
+// hold, nest too deeply or use lists of indefinite length.
+func malformedInputs() map[string][]byte {
 	deep := bytes.Repeat([]byte{0xa1, 0x61, 'n'}, 100_000)
 	return map[string][]byte{
 		"events":    {0xa1, 0x61, 'e', 0x9a, 0x03, 0xff, 0xff, 0xff},
@@ -46,46 +47,47 @@
 	}
 }
 
-// Symptom: instances of 112 MB are killed, each as soon as it reads one row.
-// Events: a writer leaves a row of eight bytes that claims 67 million events.
-// Cause: the decoder made room for them, 3 GB, before it found that nothing
-// follows. Each row here is refused within 64 KB.
-func TestRowThatClaimsMoreThanItHoldsIsRefused(t *testing.T) {
-	for name, data := range hostile() {
+// Guards against instances of 112 MB that are killed when they read a row of
+// eight bytes that declares 67 million events, because the decoder allocated
+// memory for them, 3 GB, before it reached the end of the input. Each input
+// must be rejected within 64 KB.
+func TestUnmarshalRejectsMalformedInputInBoundedMemory(t *testing.T) {
+	for name, data := range malformedInputs() {
 		var err error
-		taken := allocated(func() { err = codec.Unmarshal(data, &kept{}) })
+		used := allocated(func() { err = codec.Unmarshal(data, &sample{}) })
 		assert.Error(t, err, name)
-		assert.Less(t, taken, uint64(64<<10), name)
-		taken = allocated(func() { err = codec.NewDecoder(bytes.NewReader(data)).Decode(&kept{}) })
+		assert.Less(t, used, uint64(64<<10), name)
+		used = allocated(func() { err = codec.NewDecoder(bytes.NewReader(data)).Decode(&sample{}) })
 		assert.Error(t, err, name)
-		assert.Less(t, taken, uint64(64<<10+8*len(data)), name)
+		assert.Less(t, used, uint64(64<<10+8*len(data)), name)
 	}
 }
 
-func TestListsAreBounded(t *testing.T) {
-	data, err := codec.Marshal(&kept{Events: make([][]byte, codec.MaxElements)})
+func TestUnmarshalLimitsElements(t *testing.T) {
+	data, err := codec.Marshal(&sample{Events: make([][]byte, codec.MaxElements)})
 	require.NoError(t, err)
-	assert.NoError(t, codec.Unmarshal(data, &kept{}))
-	data, err = codec.Marshal(&kept{Events: make([][]byte, codec.MaxElements+1)})
+	assert.NoError(t, codec.Unmarshal(data, &sample{}))
+	data, err = codec.Marshal(&sample{Events: make([][]byte, codec.MaxElements+1)})
 	require.NoError(t, err)
-	assert.Error(t, codec.Unmarshal(data, &kept{}))
+	assert.Error(t, codec.Unmarshal(data, &sample{}))
 }
 
-// A value takes at most some 30 bytes of memory for each of its encoding: an
-// empty event is one byte there and a slice's 24 here. The bound is twice that
-// and 64 KB, for what other goroutines allocate meanwhile.
+// FuzzUnmarshal checks the memory used for any input. A value uses at most
+// about 30 bytes for each byte of its encoding: an empty event is one byte
+// there and a slice header of 24 bytes in memory. The bound is twice that, and
+// 64 KB for concurrent allocations by other goroutines.
 func FuzzUnmarshal(f *testing.F) {
-	whole, err := codec.Marshal(&kept{Names: []string{"x"}, Events: [][]byte{{1}}, Sums: map[string]struct{}{"y": {}}, Next: &kept{}})
+	valid, err := codec.Marshal(&sample{Names: []string{"x"}, Events: [][]byte{{1}}, Sums: map[string]struct{}{"y": {}}, Next: &sample{}})
 	require.NoError(f, err)
-	f.Add(whole)
-	for _, data := range hostile() {
+	f.Add(valid)
+	for _, data := range malformedInputs() {
 		f.Add(data)
 	}
 	f.Fuzz(func(t *testing.T, data []byte) {
-		var value kept
+		var value sample
 		var err error
-		taken := allocated(func() { err = codec.Unmarshal(data, &value) })
-		require.LessOrEqual(t, taken, uint64(64<<10+64*len(data)))
+		used := allocated(func() { err = codec.Unmarshal(data, &value) })
+		require.LessOrEqual(t, used, uint64(64<<10+64*len(data)))
 		if err != nil {
 			return
 		}
