--- a/clock/clock.go
+++ b/clock/clock.go
@@ -1,15 +1,16 @@
-// Package clock passes time into the core, so tests can drive it.
+// Package clock provides the current time through an interface, so that tests
+// can control it, and functions that wait for time to pass.
 package clock
 
 import "time"
 
-// Clock tells the time.
+// Clock provides the current time.
 type Clock interface {
 	Now() time.Time
 }
 
-// Real is the system clock.
+// Real is the Clock of the system.
 type Real struct{}
 
-// Now returns the current time.
+// Now returns the current time of the system.
 func (Real) Now() time.Time { return time.Now() }
--- a/clock/every.go
+++ b/clock/every.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// Every calls f each interval until ctx ends, then reports on done. A call
-// that takes longer than the interval leaves out the next ones.
+// Every calls f at each interval until ctx ends, then sends nil to done. If a
+// call takes longer than interval, the ticks in the meantime are dropped.
 func Every(ctx context.Context, interval time.Duration, f func(now time.Time), done chan<- error) {
 	ticker := time.NewTicker(interval)
 	defer ticker.Stop()
--- a/clock/fake.go
+++ b/clock/fake.go
@@ -5,23 +5,23 @@
 	"time"
 )
 
-// Fake is a clock that tests move by hand.
+// Fake is a Clock for tests. Its time changes only through Advance.
 type Fake struct {
 	mu  sync.Mutex
 	now time.Time
 }
 
-// NewFake returns a clock that stands at now.
+// NewFake returns a Fake set to now.
 func NewFake(now time.Time) *Fake { return &Fake{now: now} }
 
-// Now returns the time the clock was moved to.
+// Now returns the time set by NewFake and Advance.
 func (f *Fake) Now() time.Time {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.now
 }
 
-// Advance moves the clock on by d.
+// Advance moves the time forward by d.
 func (f *Fake) Advance(d time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/clock/sleep.go
+++ b/clock/sleep.go
@@ -5,8 +5,7 @@
 	"time"
 )
 
-// Sleep pauses for d, or until ctx ends. It reports whether the pause was
-// whole.
+// Sleep waits for d or until ctx ends. It reports whether d passed.
 func Sleep(ctx context.Context, d time.Duration) bool {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
