--- a/logging/handler_test.go
+++ b/logging/handler_test.go
@@ -12,10 +12,9 @@
 	"github.com/wagtaildrum/wagtaildrum/logging"
 )
 
-// Symptom: lines of failed calls between instances are two kilobytes long.
-// Events: an error that was wrapped on its way is logged. Cause: the text
-// handler writes the stack that such an error carries.
-func TestErrorsAreLoggedAsTheirMessage(t *testing.T) {
+// Guards against log lines of two kilobytes for failed calls between instances.
+// The text handler writes the stack trace of a wrapped error.
+func TestHandlerWritesErrorsWithoutStack(t *testing.T) {
 	var out bytes.Buffer
 	slog.New(logging.NewHandler(&out)).Info("call failed", "err", eris.Wrap(io.ErrUnexpectedEOF, "instance b"))
 	assert.Contains(t, out.String(), `err="instance b: unexpected EOF"`)
--- a/logging/panics.go
+++ b/logging/panics.go
@@ -6,25 +6,26 @@
 	"runtime/debug"
 )
 
-// maxStack bounds the stack in the line of a panic, in bytes: the calls next
-// to the fault.
-const maxStack = 4 << 10
+// maxStackBytes is the length to which a logged stack trace is cut. The
+// innermost calls come first and remain.
+const maxStackBytes = 4 << 10
 
-// Panics returns handler with its panics logged as errors, each with the path
-// of its request. The server's own line of a panic does not say which request
-// it was. http.ErrAbortHandler is meant and not logged. The connection is
-// broken off in either case.
+// Panics returns a handler that calls handler and logs its panics as errors,
+// with the method, path and caller of the request, which the log line of
+// net/http lacks. It doesn't log http.ErrAbortHandler, which is a deliberate
+// abort. In both cases it panics with http.ErrAbortHandler, so that the server
+// closes the connection.
 func Panics(handler http.Handler, log *slog.Logger) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		defer func() {
-			fault := recover()
-			if fault == nil {
+			recovered := recover()
+			if recovered == nil {
 				return
 			}
-			if fault != http.ErrAbortHandler {
+			if recovered != http.ErrAbortHandler {
 				stack := debug.Stack()
-				log.Error("handler panicked", "panic", fault, "method", r.Method, "path", r.URL.Path, "caller", r.RemoteAddr,
-					"stack", string(stack[:min(len(stack), maxStack)]))
+				log.Error("handler panicked", "panic", recovered, "method", r.Method, "path", r.URL.Path, "caller", r.RemoteAddr,
+					"stack", string(stack[:min(len(stack), maxStackBytes)]))
 			}
 			panic(http.ErrAbortHandler)
 		}()
--- a/logging/writer.go
+++ b/logging/writer.go
@@ -1,6 +1,6 @@
-// Package logging writes log lines without ever holding up who logs: lines
-// go through a bounded queue, at a bounded rate, and what does not fit is
-// counted.
+// Package logging writes log lines without blocking the callers that log: lines
+// go through a bounded queue at a bounded rate, and the lines that exceed
+// either bound are dropped and counted.
 package logging
 
 import (
@@ -14,17 +14,18 @@
 )
 
 const (
-	// queuedLines are kept for a reader of the log that is slow: about a
-	// second's worth at the highest rate, some 300 bytes each.
-	queuedLines = 500
-	// linesPerSecond is ten times what an instance logs on the heaviest
-	// days met (45 a second); linesAtOnce of them may come together.
-	linesPerSecond = 500
-	linesAtOnce    = 1000
+	// queueCapacity is the number of lines held for a slow reader of the log:
+	// about one second of lines at the maximum rate, of some 300 bytes each.
+	queueCapacity = 500
+	// maxLinesPerSecond is about ten times the rate an instance logged on the
+	// heaviest days observed, 45 lines a second. Bursts of up to maxBurstLines
+	// are accepted.
+	maxLinesPerSecond = 500
+	maxBurstLines     = 1000
 )
 
-// Writer is an io.Writer for a log handler that writes one line a call. Use
-// NewWriter, and Run to write.
+// Writer is an io.Writer for a log handler that makes one Write call a line.
+// Create it with NewWriter; Run writes the queued lines.
 type Writer struct {
 	out     io.Writer
 	lines   chan []byte
@@ -32,12 +33,13 @@
 	dropped atomic.Int64
 }
 
-// NewWriter returns a writer of lines to out.
+// NewWriter returns a Writer that writes lines to out.
 func NewWriter(out io.Writer) *Writer {
-	return &Writer{out: out, lines: make(chan []byte, queuedLines), limit: rate.NewLimiter(linesPerSecond, linesAtOnce)}
+	return &Writer{out: out, lines: make(chan []byte, queueCapacity), limit: rate.NewLimiter(maxLinesPerSecond, maxBurstLines)}
 }
 
-// Write queues one line, or counts it as dropped. It never blocks or fails.
+// Write queues one line, or drops and counts it if the queue is full or the
+// rate is exceeded. It never blocks and never fails.
 func (writer *Writer) Write(line []byte) (int, error) {
 	if !writer.limit.Allow() {
 		writer.dropped.Add(1)
@@ -51,8 +53,9 @@
 	return len(line), nil
 }
 
-// Run writes queued lines, several at a time if they wait, until ctx ends
-// and none is left; then it reports on done.
+// Run writes queued lines to the output, combining lines that are queued
+// together, until ctx ends. It then writes the remaining lines and sends nil to
+// done.
 func (writer *Writer) Run(ctx context.Context, done chan<- error) {
 	var batch bytes.Buffer
 	for {
@@ -68,8 +71,8 @@
 	}
 }
 
-// flush writes the batch and whatever waits, and how many lines were
-// dropped since.
+// flush writes the batch, all queued lines, and a line with the number of lines
+// dropped since the last flush.
 func (writer *Writer) flush(batch *bytes.Buffer) {
 	for {
 		select {
@@ -83,6 +86,6 @@
 	if dropped := writer.dropped.Swap(0); dropped > 0 {
 		fmt.Fprintf(batch, "level=WARN msg=\"log lines dropped\" lines=%d\n", dropped)
 	}
-	_, _ = writer.out.Write(batch.Bytes()) // there is nowhere to report it
+	_, _ = writer.out.Write(batch.Bytes()) // a failing log cannot be reported
 	batch.Reset()
 }
--- a/logging/writer_test.go
+++ b/logging/writer_test.go
@@ -36,38 +36,39 @@
 	}
 }
 
-// stuck is a reader of the log that does not read.
-type stuck struct{ release chan struct{} }
+// stalledOutput is an output whose writes block until release is closed.
+type stalledOutput struct{ release chan struct{} }
 
-func (s stuck) Write(p []byte) (int, error) {
+func (s stalledOutput) Write(p []byte) (int, error) {
 	<-s.release
 	return len(p), nil
 }
 
-// Symptom: all requests stand still while the log's reader does. Events: the
-// log's pipe is full; a burst of requests each log a line. Cause: lines were
-// written by who served the request.
-func TestStuckReaderHoldsNobodyUp(t *testing.T) {
+// Guards against requests that block while the reader of the log does. When the
+// log's pipe was full, each request in a burst wrote its own log line and
+// waited.
+func TestWriteDoesNotBlockOnStalledOutput(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		out := stuck{release: make(chan struct{})}
+		out := stalledOutput{release: make(chan struct{})}
 		writer := logging.NewWriter(out)
 		ctx, cancel := context.WithCancel(context.Background())
 		done := make(chan error, 1)
 		go writer.Run(ctx, done)
 		log := slog.New(slog.NewTextHandler(writer, nil))
-		began, used := time.Now(), processorTime(t)
+		started, usedBefore := time.Now(), processorTime(t)
 		for n := range 20_000 {
 			log.Info("request", "n", n)
 		}
-		assert.Zero(t, time.Since(began), "nothing waits")
-		assert.Less(t, processorTime(t)-used, time.Second)
+		assert.Zero(t, time.Since(started), "Write must not block")
+		assert.Less(t, processorTime(t)-usedBefore, time.Second)
 		cancel()
 		close(out.release)
 		require.NoError(t, <-done)
 	})
 }
 
-// processorTime returns what this process has used, however busy the machine is.
+// processorTime returns the processor time used by this process, which doesn't
+// depend on the load of the machine.
 func processorTime(t *testing.T) time.Duration {
 	t.Helper()
 	var usage syscall.Rusage
