--- a/tcp/dialer.go
+++ b/tcp/dialer.go
@@ -1,4 +1,4 @@
-// Package tcp makes connections that find out when their peer is gone.
+// Package tcp creates TCP connections that detect unreachable peers quickly.
 package tcp
 
 import (
@@ -9,28 +9,30 @@
 	"golang.org/x/sys/unix"
 )
 
-// Keep-alive probes: a connection that went silent is closed after
-// probeIdle and probeCount times probeInterval.
+// The keep-alive probes of a connection: an idle connection whose peer is
+// unreachable is closed after keepAliveIdle and keepAliveCount times
+// keepAliveInterval.
 const (
-	probeIdle     = time.Second
-	probeInterval = 500 * time.Millisecond
-	probeCount    = 2
+	keepAliveIdle     = time.Second
+	keepAliveInterval = 500 * time.Millisecond
+	keepAliveCount    = 2
 )
 
-// NewDialer returns a dialer that gives up connecting after connect, and
-// whose connections fail once what was sent is not acknowledged for
-// unacked, as after a cut or a loss of power: without that a write to a
-// silent peer succeeds and its answer is waited for.
-func NewDialer(connect, unacked time.Duration) *net.Dialer {
+// NewDialer returns a dialer whose connection attempts time out after
+// connectTimeout, and whose connections fail when sent data stays
+// unacknowledged for ackTimeout, as after a network partition or a power loss.
+// Without ackTimeout, a write to an unreachable peer succeeds and its caller
+// waits for a response.
+func NewDialer(connectTimeout, ackTimeout time.Duration) *net.Dialer {
 	return &net.Dialer{
-		Timeout:         connect,
-		KeepAliveConfig: net.KeepAliveConfig{Enable: true, Idle: probeIdle, Interval: probeInterval, Count: probeCount},
+		Timeout:         connectTimeout,
+		KeepAliveConfig: net.KeepAliveConfig{Enable: true, Idle: keepAliveIdle, Interval: keepAliveInterval, Count: keepAliveCount},
 		Control: func(_, _ string, raw syscall.RawConn) error {
 			var err error
-			if cerr := raw.Control(func(fd uintptr) {
-				err = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(unacked.Milliseconds()))
-			}); cerr != nil {
-				return cerr
+			if controlErr := raw.Control(func(fd uintptr) {
+				err = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(ackTimeout.Milliseconds()))
+			}); controlErr != nil {
+				return controlErr
 			}
 			return err
 		},
