--- a/settings/doc.go
+++ b/settings/doc.go
@@ -1,4 +1,4 @@
-// Package settings loads the TOML settings file of each process and checks
-// it: unknown keys, missing keys and bad values are each a *Error naming
-// the key, so a wrong file never starts a process half-configured.
+// Package settings loads and validates the TOML settings file of each process.
+// An unknown key, a missing key or an invalid value is returned as an *Error with
+// the key, so that no process starts with an invalid or partial configuration.
 package settings
--- a/settings/load_test.go
+++ b/settings/load_test.go
@@ -22,17 +22,16 @@
 drain_timeout = "30s"
 `
 
-func TestEntrySettingsLoad(t *testing.T) {
+func TestDecodeEntrySettings(t *testing.T) {
 	s, err := settings.Decode[settings.Entry]("entry.toml", goodEntry)
 	require.NoError(t, err)
 	require.Equal(t, "riga-a", s.DataCentre)
 	require.Equal(t, "10s", s.LeaseTTL.String())
 }
 
-// TestBadSettingsAreTypedErrors checks that each kind of fault in a
-// settings file is a *settings.Error naming the key at fault, so a wrong
-// file never starts a process half-configured.
-func TestBadSettingsAreTypedErrors(t *testing.T) {
+// Guards against a process that starts with an invalid or partial configuration:
+// each kind of fault is returned as a *settings.Error with the key at fault.
+func TestDecodeInvalidSettingsReturnsTypedError(t *testing.T) {
 	cases := []struct {
 		name    string
 		data    string
--- a/settings/roles.go
+++ b/settings/roles.go
@@ -7,62 +7,69 @@
 	"github.com/wagtaildrum/wagtaildrum/routing"
 )
 
-// Common holds the keys every process has.
+// Common holds the required keys that all long-running processes share.
 type Common struct {
 	InstanceID string `toml:"instance_id"`
 	DataCentre string `toml:"data_centre"`
-	Debug      string `toml:"debug"`
+	// Debug is the HTTP address, host:port, of the metrics and the state dump.
+	Debug string `toml:"debug"`
 }
 
+// check records the faults of the common keys.
 func (s *Common) check(c *Checker) {
 	c.Required("instance_id", s.InstanceID)
 	c.Required("data_centre", s.DataCentre)
 	c.HostPort("debug", s.Debug)
 }
 
-// Entry is the settings of an entry instance. Durations are TOML strings
-// such as "10s".
+// Entry holds the settings of an entry instance. Durations are TOML strings such
+// as "10s", here and in the other types.
 type Entry struct {
 	Common
-	// Listen is the callers' HTTP address, host:port.
+	// Listen is the HTTP address, host:port, on which callers are served.
 	Listen string `toml:"listen"`
-	// PeerListen is the QUIC address, host:port, on which other entry
-	// instances forward requests for programs that this one owns.
+	// PeerListen is the QUIC address, host:port, to which other entry instances
+	// forward requests of programs that this instance owns.
 	PeerListen string `toml:"peer_listen"`
 	// Platform is the base URL of the platform's table service.
 	Platform string `toml:"platform"`
-	// LeaseTTL is how long a program lease lasts without renewal.
+	// LeaseTTL is the time after which the lease of a program expires unless it
+	// is renewed.
 	LeaseTTL time.Duration `toml:"lease_ttl"`
-	// ConfigPoll is how often the configuration is read from the platform.
+	// ConfigPoll is the interval at which the configuration is read from the
+	// platform.
 	ConfigPoll time.Duration `toml:"config_poll"`
-	// CallTimeout bounds one call to an endpoint.
+	// CallTimeout is the timeout of one call to an endpoint.
 	CallTimeout time.Duration `toml:"call_timeout"`
-	// DrainTimeout bounds how long a planned stop waits for calls in
+	// DrainTimeout is the maximum time that a planned stop waits for calls in
 	// flight.
 	DrainTimeout time.Duration `toml:"drain_timeout"`
-	// JournalInterval is the shortest time between two writes of the
-	// programs' turns to the store. 0: DefaultJournalInterval.
+	// JournalInterval is the minimum time between two writes of turns to the
+	// store; 0 means DefaultJournalInterval.
 	JournalInterval time.Duration `toml:"journal_interval"`
-	// Routing names the routing policy; affinity if empty.
+	// Routing is the name of the routing policy, one of routing.PolicyNames;
+	// empty means affinity.
 	Routing string `toml:"routing"`
-	// PrefillRate is how many prompt tokens a second an engine reads; the
-	// affinity policy weighs cache against load with it. 0: DefaultPrefillRate.
+	// PrefillRate is the number of prompt tokens that an engine processes per
+	// second. The affinity policy weighs cached prefixes against load with it.
+	// 0 means DefaultPrefillRate.
 	PrefillRate int `toml:"prefill_rate"`
-	// BlockTokens is the block size of the engines' prefix caches. 0:
-	// DefaultBlockTokens.
+	// BlockTokens is the block size, in tokens, of the engines' prefix caches;
+	// 0 means DefaultBlockTokens.
 	BlockTokens int `toml:"block_tokens"`
 }
 
-// Defaults of the optional keys.
+// Defaults of the optional keys of Entry.
 const (
 	DefaultPrefillRate = 100_000
 	DefaultBlockTokens = 16
-	// DefaultJournalInterval allows 50 writes a second, and as many
-	// deletions: a dozen entry instances within a store's several hundred.
+	// DefaultJournalInterval allows 50 writes and 50 deletions per second and
+	// instance, so that a dozen entry instances stay within the several hundred
+	// per second that a store accepts.
 	DefaultJournalInterval = 20 * time.Millisecond
 )
 
-// Check implements Validator.
+// Check implements Validator. It sets the defaults of optional keys.
 func (s *Entry) Check(c *Checker) {
 	s.check(c)
 	c.HostPort("listen", s.Listen)
@@ -90,35 +97,37 @@
 	}
 }
 
-// Sidecar is the settings of the process beside one endpoint.
+// Sidecar holds the settings of a sidecar, the process that admits calls to one
+// endpoint.
 type Sidecar struct {
 	Common
-	// Listen is the QUIC address peers dial, host:port.
+	// Listen is the QUIC address, host:port, to which entry instances connect.
 	Listen string `toml:"listen"`
-	// Endpoint is the base URL of the engine or tool service beside it.
+	// Endpoint is the base URL of the engine or tool service.
 	Endpoint string `toml:"endpoint"`
-	// Role is "engine" or "tool".
+	// Role is the kind of the endpoint: "engine" or "tool".
 	Role string `toml:"role"`
-	// Platform is the base URL of the platform; the sidecar marks its
-	// instance live there at start and leaving when it drains.
+	// Platform is the base URL of the platform, in whose instance list the
+	// sidecar marks itself live at start and leaving when it drains.
 	Platform string `toml:"platform"`
-	// DrainTimeout bounds how long a planned stop waits for calls in
+	// DrainTimeout is the maximum time that a planned stop waits for calls in
 	// flight.
 	DrainTimeout time.Duration `toml:"drain_timeout"`
-	// MaxConcurrent is how many calls run on the endpoint at once; more
-	// wait in the sidecar's queue, most urgent first.
+	// MaxConcurrent is the maximum number of calls that run on the endpoint at
+	// once. Further calls wait in the sidecar's queue, most urgent first.
 	MaxConcurrent int `toml:"max_concurrent"`
-	// MaxQueued is how many calls may wait; beyond that calls are refused
-	// at once with a time to come back.
+	// MaxQueued is the maximum number of waiting calls. Further calls are
+	// rejected at once with the time after which to retry.
 	MaxQueued int `toml:"max_queued"`
-	// UrgentOnly of the max_concurrent places are kept for urgent calls.
+	// UrgentOnly is the number of the MaxConcurrent slots that are reserved for
+	// urgent calls.
 	UrgentOnly int `toml:"urgent_only"`
-	// Order names the order of waiting calls within an urgency class;
-	// oldest_program if empty.
+	// Order is the name of the order of waiting calls within an urgency class,
+	// one of admission.OrderNames; empty means oldest_program.
 	Order string `toml:"order"`
 }
 
-// Check implements Validator.
+// Check implements Validator. It sets the defaults of optional keys.
 func (s *Sidecar) Check(c *Checker) {
 	s.check(c)
 	c.HostPort("listen", s.Listen)
@@ -136,7 +145,7 @@
 	c.OneOf("order", s.Order, admission.OrderNames...)
 }
 
-// Ctl is the settings of the operator's command.
+// Ctl holds the settings of the operator's commands.
 type Ctl struct {
 	// Platform is the base URL of the platform's table service.
 	Platform string `toml:"platform"`
@@ -145,27 +154,29 @@
 // Check implements Validator.
 func (s *Ctl) Check(c *Checker) { c.URL("platform", s.Platform) }
 
-// Engine is the settings of the engine stand-in.
+// Engine holds the settings of the engine stand-in.
 type Engine struct {
 	Common
+	// Listen is the HTTP address, host:port, on which requests are served.
 	Listen string `toml:"listen"`
-	// Model is the model the engine serves.
+	// Model is the name of the model that the engine serves.
 	Model string `toml:"model"`
-	// Step is the time of one batch step.
+	// Step is the duration of one step of an empty batch.
 	Step time.Duration `toml:"step"`
-	// StepPerSequence is added to the step for each sequence in the batch.
+	// StepPerSequence is added to Step for each sequence in the batch.
 	StepPerSequence time.Duration `toml:"step_per_sequence"`
-	// PrefillTokens is how many prompt tokens one step reads; 0: no bound.
+	// PrefillTokens is the maximum number of prompt tokens processed in one
+	// step; 0 means no limit.
 	PrefillTokens int `toml:"prefill_tokens"`
-	// MaxBatch is how many sequences one step advances.
+	// MaxBatch is the maximum number of sequences in the batch.
 	MaxBatch int `toml:"max_batch"`
-	// CacheBlocks is the prefix cache size, in blocks of BlockTokens.
+	// CacheBlocks is the size of the prefix cache, in blocks of BlockTokens.
 	CacheBlocks int `toml:"cache_blocks"`
 	// BlockTokens is the number of tokens in one cache block.
 	BlockTokens int `toml:"block_tokens"`
-	// ReportLag is how late load and cache events are published.
+	// ReportLag is the delay before load and cache events are published.
 	ReportLag time.Duration `toml:"report_lag"`
-	// EventLossPercent is the share of cache events never published.
+	// EventLossPercent is the percentage of cache events that are lost.
 	EventLossPercent int `toml:"event_loss_percent"`
 }
 
@@ -183,13 +194,15 @@
 	c.AtLeast("event_loss_percent", s.EventLossPercent, 0)
 }
 
-// Tool is the settings of the tool stand-in.
+// Tool holds the settings of the tool stand-in.
 type Tool struct {
 	Common
+	// Listen is the HTTP address, host:port, on which requests are served.
 	Listen string `toml:"listen"`
-	// Hang lists tools whose calls never answer until cancelled.
+	// Hang lists the tools whose calls get no response until the caller cancels
+	// them.
 	Hang []string `toml:"hang"`
-	// Work is how long a call takes.
+	// Work is the duration of a call.
 	Work time.Duration `toml:"work"`
 }
 
@@ -199,16 +212,20 @@
 	c.HostPort("listen", s.Listen)
 }
 
-// Platform is the settings of the platform stand-in.
+// Platform holds the settings of the platform stand-in.
 type Platform struct {
 	Common
+	// Listen is the HTTP address, host:port, on which requests are served.
 	Listen string `toml:"listen"`
-	// InstanceLag is how far the instance list lags behind the truth.
+	// InstanceLag is the delay after which a change of an instance appears in
+	// the instance list.
 	InstanceLag time.Duration `toml:"instance_lag"`
-	// WritesPerSecond and ReadsPerSecond bound the calls taken; 0: no bound.
+	// WritesPerSecond and ReadsPerSecond are the maximum rates of accepted
+	// requests; 0 means no limit.
 	WritesPerSecond int `toml:"writes_per_second"`
 	ReadsPerSecond  int `toml:"reads_per_second"`
-	// TableTime and ObjectTime are how long a call to each service takes.
+	// TableTime and ObjectTime are the durations of a request to the table
+	// service and to the object service.
 	TableTime  time.Duration `toml:"table_time"`
 	ObjectTime time.Duration `toml:"object_time"`
 }
