--- a/cmd/wagtaildrum/ctl.go
+++ b/cmd/wagtaildrum/ctl.go
@@ -13,10 +13,13 @@
 	"github.com/wagtaildrum/wagtaildrum/tableservice"
 )
 
+// ctlSettings holds the flags that the ctl commands share.
 type ctlSettings struct {
 	Settings string `long:"settings" short:"s" required:"true" description:"TOML settings file"`
 }
 
+// client loads the settings file and returns a client of the platform's table
+// service.
 func (c *ctlSettings) client() (*tableservice.Client, error) {
 	s, err := settings.Load[settings.Ctl](c.Settings)
 	if err != nil {
@@ -25,6 +28,7 @@
 	return tableservice.NewClient(s.Platform, 5*time.Second), nil
 }
 
+// applyCommand is the ctl apply command.
 type applyCommand struct {
 	ctlSettings
 	Confirm bool `long:"confirm" description:"write the plan; without it nothing is written"`
@@ -33,9 +37,10 @@
 	} `positional-args:"true"`
 }
 
-// Execute prints the plan, and writes it only with --confirm.
+// Execute prints the changes from the current to the desired configuration. It
+// applies them only with --confirm.
 func (c *applyCommand) Execute([]string) error {
-	pc, err := c.client()
+	tableClient, err := c.client()
 	if err != nil {
 		return err
 	}
@@ -45,20 +50,20 @@
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 	defer cancel()
-	current, err := operator.Current(ctx, pc)
+	current, err := operator.Current(ctx, tableClient)
 	if err != nil {
 		return err
 	}
 	plan := config.MakePlan(current, desired)
 	fmt.Print(plan)
 	if !c.Confirm {
-		fmt.Println("nothing written; run again with --confirm to apply this plan")
+		fmt.Println("no changes applied; run again with --confirm to apply this plan")
 		return nil
 	}
 	if len(plan.Changes()) == 0 {
 		return nil
 	}
-	ver, err := operator.Apply(ctx, pc, plan, desired)
+	ver, err := operator.Apply(ctx, tableClient, plan, desired)
 	if err != nil {
 		return err
 	}
@@ -66,17 +71,19 @@
 	return nil
 }
 
+// showCommand is the ctl show command.
 type showCommand struct{ ctlSettings }
 
-// Execute prints the configuration in force as JSON.
+// Execute prints the version of the current configuration and the configuration
+// as JSON.
 func (c *showCommand) Execute([]string) error {
-	pc, err := c.client()
+	tableClient, err := c.client()
 	if err != nil {
 		return err
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 	defer cancel()
-	cur, err := operator.Current(ctx, pc)
+	cur, err := operator.Current(ctx, tableClient)
 	if err != nil {
 		return err
 	}
--- a/cmd/wagtaildrum/entry.go
+++ b/cmd/wagtaildrum/entry.go
@@ -10,31 +10,32 @@
 	"github.com/wagtaildrum/wagtaildrum/settings"
 )
 
-// releaseTimeout bounds how long a stopping entry spends on giving up its
-// leases.
-const releaseTimeout = 5 * time.Second
+// leaseReleaseTimeout is the maximum time that a stopping entry instance spends
+// on releasing its leases.
+const leaseReleaseTimeout = 5 * time.Second
 
+// entryCommand is the entry command.
 type entryCommand struct {
 	Settings string `long:"settings" short:"s" required:"true" description:"TOML settings file"`
 }
 
-// Execute runs an entry instance until SIGTERM, then drains: requests in
-// flight finish (up to drain_timeout) before it exits.
+// Execute runs an entry instance until SIGTERM or SIGINT. It then drains: it
+// exits after the requests in flight have completed, or after drain_timeout.
 func (c *entryCommand) Execute([]string) error {
 	s, err := settings.Load[settings.Entry](c.Settings)
 	if err != nil {
 		return err
 	}
 	p := newProcess("entry", s.InstanceID)
-	ctx, stop := signalled()
+	ctx, stop := signalContext()
 	defer stop()
 	e := entry.New(s, clock.Real{}, p.log, p.metrics.Scope())
 	defer e.Close()
 	if err := p.serveDebug(ctx, s.Debug, e.State); err != nil {
 		return err
 	}
-	// The peer server outlives the signal: calls of programs owned here
-	// that other instances forwarded finish before it stops.
+	// The peer server keeps running after the signal, so that calls forwarded by
+	// other instances for programs owned here complete before it stops.
 	peerCtx, stopPeer := context.WithCancel(context.Background())
 	defer stopPeer()
 	srv, err := peer.Listen(s.PeerListen, e.HandlePeer, p.log)
@@ -49,8 +50,8 @@
 	p.goroutine(ctx, func(ctx context.Context, done chan<- error) {
 		<-ctx.Done()
 		e.WaitIdle(s.DrainTimeout)
-		release, cancel := context.WithTimeout(context.Background(), releaseTimeout)
-		e.ReleaseLeases(release)
+		releaseCtx, cancel := context.WithTimeout(context.Background(), leaseReleaseTimeout)
+		e.ReleaseLeases(releaseCtx)
 		cancel()
 		stopPeer()
 		done <- nil
--- a/cmd/wagtaildrum/front.go
+++ b/cmd/wagtaildrum/front.go
@@ -31,38 +31,45 @@
 )
 
 const (
-	// memoryShare of the process's limit is given to the Go runtime; the
-	// rest is for what it does not count: stacks of C, socket buffers.
-	memoryShare = 0.75
-	// bodyShare of the limit is for the bodies of requests under way: ten
-	// times what the heaviest days met take at once.
-	bodyShare = 0.25
-	// cacheShare of the limit holds turns used lately.
-	cacheShare = 0.15
-	// upkeepInterval is how often endpoints that did not come back are
-	// dropped and unused connections closed.
-	upkeepInterval = 500 * time.Millisecond
-	// leaveTime is kept for giving up what a stopping instance holds. It
-	// counts into the time to stop.
-	leaveTime = 700 * time.Millisecond
-	// leaveRetry is the pause between tries of that while the store is away,
-	// and rowTime is kept of the time to stop for the own entry's removal.
-	leaveRetry = 150 * time.Millisecond
-	rowTime    = 300 * time.Millisecond
-	// settingsInterval is how often the settings file is looked at, since
-	// it may change without a signal.
-	settingsInterval = 2 * time.Second
+	// goMemoryShare is the share of the process's memory limit that is set as
+	// the limit of the Go runtime. The remainder is for memory that the runtime
+	// does not count, such as C stacks and socket buffers.
+	goMemoryShare = 0.75
+	// bodyMemoryShare is the share of the memory limit for the bodies of requests
+	// in flight. It is ten times the peak use of the heaviest days observed.
+	bodyMemoryShare = 0.25
+	// turnCacheShare is the share of the memory limit for the cache of recently
+	// used turns.
+	turnCacheShare = 0.15
+	// maintenanceInterval is the interval at which endpoints that did not
+	// register again are dropped and idle connections are closed.
+	maintenanceInterval = 500 * time.Millisecond
+	// shutdownTimeout is the part of the grace period that is reserved for
+	// releasing the state of a stopping instance.
+	shutdownTimeout = 700 * time.Millisecond
+	// releaseRetryInterval is the delay between attempts to release that state
+	// while the store is unavailable. deregisterTimeout is the part of
+	// shutdownTimeout that is reserved for removing the instance's entry.
+	releaseRetryInterval = 150 * time.Millisecond
+	deregisterTimeout    = 300 * time.Millisecond
+	// settingsPollInterval is the interval at which the settings file is checked
+	// for changes, since it may change without a signal.
+	settingsPollInterval = 2 * time.Second
 )
 
-// frontCommand runs an entry instance on the users' platform.
+// frontCommand is the front command, which runs an entry instance on the users'
+// platform.
 type frontCommand struct {
 	Settings string `long:"settings" short:"s" env:"WAGTAILDRUM_CONFIG" required:"true" description:"the platform's settings file"`
 	Metrics  string `long:"metrics" description:"address for metrics and state, HOST:PORT or :PORT"`
 }
 
-// Execute serves callers until SIGTERM.
+// Execute serves callers until SIGTERM or SIGINT. It then drains: it completes
+// the requests in flight within the grace period, releases the instance's state
+// and exits.
 func (c *frontCommand) Execute([]string) error {
-	// Unhandled, a hangup ends the process; one may come before it serves.
+	// SIGHUP requests a reload. It is handled before anything else, since an
+	// unhandled SIGHUP terminates the process and one may arrive during startup.
 	hangups := make(chan os.Signal, 1)
 	signal.Notify(hangups, syscall.SIGHUP)
 	defer signal.Stop(hangups)
@@ -70,19 +77,19 @@
 	if err != nil {
 		return err
 	}
-	debug.SetMemoryLimit(int64(memoryShare * float64(s.Memory)))
-	lines := logging.NewWriter(os.Stdout)
-	writing, endLines := context.WithCancel(context.Background())
-	written := make(chan error, 1)
-	go lines.Run(writing, written)
+	debug.SetMemoryLimit(int64(goMemoryShare * float64(s.Memory)))
+	logWriter := logging.NewWriter(os.Stdout)
+	logCtx, stopLog := context.WithCancel(context.Background())
+	logDone := make(chan error, 1)
+	go logWriter.Run(logCtx, logDone)
 	defer func() {
-		endLines()
-		if err := <-written; err != nil {
+		stopLog()
+		if err := <-logDone; err != nil {
 			fmt.Fprintln(os.Stderr, "wagtaildrum:", err)
 		}
 	}()
-	p := newLoggingProcess("front", s.Instance, lines)
-	ctx, stop := signalled()
+	p := newLoggingProcess("front", s.Instance, logWriter)
+	ctx, stop := signalContext()
 	defer stop()
 	f := newFront(p, s)
 	if c.Metrics != "" {
@@ -90,23 +97,23 @@
 			return err
 		}
 	}
-	// What requests in flight need outlives the signal.
-	work, end := context.WithCancel(context.Background())
-	defer end()
-	p.goroutine(work, f.configuration.Run)
-	p.goroutine(work, f.endpoints.Run)
-	p.goroutine(work, f.instances.Run)
-	p.goroutine(work, f.own.Run)
-	p.goroutine(work, f.store.Run)
-	p.goroutine(work, f.accounts.Sweep)
-	p.goroutine(work, f.accounts.Repay)
-	p.goroutine(work, f.quotas.Run)
-	p.goroutine(work, f.quotas.Watch)
+	// Goroutines that requests in flight depend on keep running after the signal.
+	workCtx, stopWork := context.WithCancel(context.Background())
+	defer stopWork()
+	p.goroutine(workCtx, f.configuration.Run)
+	p.goroutine(workCtx, f.endpoints.Run)
+	p.goroutine(workCtx, f.instances.Run)
+	p.goroutine(workCtx, f.directStore.Run)
+	p.goroutine(workCtx, f.store.Run)
+	p.goroutine(workCtx, f.accounts.Sweep)
+	p.goroutine(workCtx, f.accounts.Repay)
+	p.goroutine(workCtx, f.quotas.Run)
+	p.goroutine(workCtx, f.quotas.Watch)
 	p.goroutine(ctx, f.accounts.Acquire(f.directory))
 	p.goroutine(ctx, f.directory.Join(f.store, p.log))
-	p.goroutine(work, f.upkeep)
-	p.goroutine(work, func(ctx context.Context, done chan<- error) { watchSettings(ctx, c.Settings, s, hangups, p.log, done) })
-	if err := f.serve(ctx, work, s, end); err != nil {
+	p.goroutine(workCtx, f.maintain)
+	p.goroutine(workCtx, func(ctx context.Context, done chan<- error) { watchSettings(ctx, c.Settings, s, hangups, p.log, done) })
+	if err := f.serve(ctx, workCtx, s, stopWork); err != nil {
 		return err
 	}
 	p.log.Info("started", "callers", s.Callers, "store", s.Store, "data_centre", s.DataCentre, "owner", f.owner)
@@ -115,85 +122,93 @@
 	return err
 }
 
-// front is the parts of an entry instance on the platform.
+// front holds the components of an entry instance on the users' platform.
 type front struct {
-	process  *process
-	owner    string
-	gateway  *gateway.Gateway
+	process *process
+	// owner names this incarnation of the instance as owner of its state.
+	owner   string
+	gateway *gateway.Gateway
+	// list holds the endpoints; endpoints keeps it current.
 	list     *membership.List
 	picker   *balance.Picker
 	client   *upstream.Client
 	accounts *account.Keeper
 	quotas   *quota.Limiter
-	// own is this instance's way to the store, store all its ways.
-	own, store    *store.Guard
-	directory     *entrypeer.Directory
-	peers         *entrypeer.Server
-	configuration *discovery.Follower
-	endpoints     *discovery.Follower
-	instances     *discovery.Follower
+	// directStore reaches the store by this instance's own connections only.
+	// store also relays through other instances while those connections fail.
+	directStore, store *store.Guard
+	directory          *entrypeer.Directory
+	peers              *entrypeer.Server
+	configuration      *discovery.Follower
+	endpoints          *discovery.Follower
+	instances          *discovery.Follower
 }
 
 func newFront(p *process, s *platform.Settings) *front {
 	scope, clk := p.metrics.Scope(), clock.Real{}
 	owner := entrypeer.NewOwner(s.Instance, clk.Now())
-	own := store.NewGuard(store.NewPersistent(platform.NewStore(s.Store), clk), func(partition string, away bool, err error) {
-		p.log.Info("own way to the store", "partition", partition, "away", away, "err", err)
+	directStore := store.NewGuard(store.NewPersistent(platform.NewStore(s.Store), clk), func(partition string, unavailable bool, err error) {
+		p.log.Info("availability of the store by the direct connection changed", "partition", partition, "away", unavailable, "err", err)
 	})
 	directory := entrypeer.NewDirectory(entrypeer.Instance{Name: s.Instance, Owner: owner, Address: s.Peer, DataCentre: s.DataCentre}, clk)
 	peers := entrypeer.NewClient(directory)
-	relay := entrypeer.NewRelay(own, peers)
+	relay := entrypeer.NewRelay(directStore, peers)
 	current, list := &route.Current{}, membership.NewList()
-	guard := store.NewGuard(relay, func(partition string, away bool, err error) {
-		p.log.Info("store", "partition", partition, "away", away, "err", err)
+	guard := store.NewGuard(relay, func(partition string, unavailable bool, err error) {
+		p.log.Info("store", "partition", partition, "away", unavailable, "err", err)
 		switch {
-		case away && partition == store.AllPartitions:
+		case unavailable && partition == store.AllPartitions:
 			list.StoreLost()
 		case partition == store.AllPartitions:
 			list.StoreBack(clk.Now())
 		}
 	})
-	f := &front{process: p, list: list, picker: balance.NewPicker(clk), client: upstream.NewClient(), owner: owner, directory: directory, own: own, store: guard}
+	f := &front{process: p, list: list, picker: balance.NewPicker(clk), client: upstream.NewClient(), owner: owner, directory: directory, directStore: directStore, store: guard}
 	f.accounts = account.NewKeeper(guard, owner, peers, peers, clk, p.log, scope)
-	turns := archive.New(guard, peers, s.RowBytes, int(cacheShare*float64(s.Memory)), p.log, scope)
+	turns := archive.New(guard, peers, s.RowBytes, int(turnCacheShare*float64(s.Memory)), p.log, scope)
 	f.quotas = quota.NewLimiter(peers, s.Tolerance, clk, p.log, scope)
-	f.peers = &entrypeer.Server{Store: own, Lender: f.accounts, Turns: turns, Quotas: f.quotas, Directory: directory, Log: p.log}
+	f.peers = &entrypeer.Server{Store: directStore, Lender: f.accounts, Turns: turns, Quotas: f.quotas, Directory: directory, Log: p.log}
 	self, _ := directory.Members()
 	f.gateway = gateway.New(gateway.Parts{
 		Instance: self, DataCentre: s.DataCentre, Dialect: platform.Dialect{}, Routes: current, Endpoints: list, Picker: f.picker, Upstream: f.client,
 		Accounts:   f.accounts,
 		Archive:    turns,
 		Quotas:     f.quotas,
-		Durability: durability{store: guard, directory: directory}, BodyBytes: int64(bodyShare * float64(s.Memory)),
+		Durability: durability{store: guard, directory: directory}, BodyBytes: int64(bodyMemoryShare * float64(s.Memory)),
 		Clock: clk, Log: p.log, Metrics: scope,
 	})
 	f.configuration = discovery.NewFollower(guard, discovery.Configuration(platform.ConfigurationKey, platform.DecodeConfiguration, current, p.log), clk, p.log, scope)
-	f.endpoints = discovery.NewFollower(guard, discovery.Endpoints(platform.EndpointTable, platform.DecodeEndpoint, list, f.restarted, clk, p.log), clk, p.log, scope)
+	f.endpoints = discovery.NewFollower(guard, discovery.Endpoints(platform.EndpointTable, platform.DecodeEndpoint, list, f.dropConnections, clk, p.log), clk, p.log, scope)
 	f.instances = discovery.NewFollower(guard, directory.Source(p.log), clk, p.log, scope)
 	return f
 }
 
-// restarted drops the connections to an endpoint that started again.
-func (f *front) restarted(endpoint *membership.Endpoint) { f.client.Drop(endpoint.Address) }
+// dropConnections closes the idle connections to an endpoint that was restarted.
+func (f *front) dropConnections(endpoint *membership.Endpoint) { f.client.Drop(endpoint.Address) }
 
-// durability is how the store can be reached from here.
+// durability implements gateway.Durability.
 type durability struct {
 	store     *store.Guard
 	directory *entrypeer.Directory
 }
 
-// Away implements gateway.Durability.
+// Away implements gateway.Durability. It reports whether the store is unavailable
+// by every route.
 func (d durability) Away() bool { return d.store.WholeAway() }
 
-// Slow implements gateway.Durability.
+// Slow implements gateway.Durability. It reports whether the store responds more
+// slowly than usual, or not at all at the moment.
 func (d durability) Slow() bool { return d.store.Slow() }
 
-// Isolated implements gateway.Durability.
+// Isolated implements gateway.Durability. It reports whether no other instance
+// was reachable recently.
 func (d durability) Isolated() bool { return d.directory.Isolated() }
 
-// serve starts serving callers and readiness until ctx ends. Then it
-// drains, and calls end once no request is left.
-func (f *front) serve(ctx, work context.Context, s *platform.Settings, end context.CancelFunc) error {
+// serve starts the servers of callers, of readiness checks and of other
+// instances, and returns. When ctx ends, the callers' server drains, the state of
+// the instance is released, and end is called, which is to end workCtx and thus
+// the other servers. It returns an error if an address cannot be listened on.
+func (f *front) serve(ctx, workCtx context.Context, s *platform.Settings, end context.CancelFunc) error {
 	p := f.process
 	callers, err := net.Listen("tcp", s.Callers)
 	if err != nil {
@@ -207,60 +222,61 @@
 	if err != nil {
 		return eris.Wrapf(err, "listen %s", s.Peer)
 	}
-	p.goroutine(work, serveUntil(ready, f.gateway.ReadyHandler(), p.log))
-	p.goroutine(work, serveUntil(peers, f.peers.Handler(), p.log))
+	p.goroutine(workCtx, serveUntil(ready, f.gateway.ReadyHandler(), p.log))
+	p.goroutine(workCtx, serveUntil(peers, f.peers.Handler(), p.log))
 	server := gateway.NewServer(f.gateway, p.log)
 	p.goroutine(ctx, func(ctx context.Context, done chan<- error) {
-		began := make(chan time.Time, 1)
+		drainStarted := make(chan time.Time, 1)
 		go func() {
 			<-ctx.Done()
-			began <- time.Now()
+			drainStarted <- time.Now()
 			p.log.Info("draining", "in_flight", f.gateway.InFlight())
 			f.gateway.Drain()
 		}()
 		served := make(chan error, 1)
-		server.Serve(ctx, callers, s.Grace-leaveTime, served)
-		until := time.Now().Add(leaveTime - rowTime)
+		server.Serve(ctx, callers, s.Grace-shutdownTimeout, served)
+		deadline := time.Now().Add(shutdownTimeout - deregisterTimeout)
 		if ctx.Err() != nil {
-			if end := (<-began).Add(s.Grace - leaveTime); end.After(until) {
-				until = end
+			if end := (<-drainStarted).Add(s.Grace - shutdownTimeout); end.After(deadline) {
+				deadline = end
 			}
 		}
-		f.leave(until)
+		f.releaseState(deadline)
 		end()
 		done <- <-served
 	})
 	return nil
 }
 
-// leave gives up what this instance holds: other instances take over its
-// programs. While the store is away it goes on trying until a time: what is
-// not given up counts as spent, for its programs and for new ones.
-func (f *front) leave(until time.Time) {
-	giving, cancelGiving := context.WithDeadline(context.Background(), until)
-	defer cancelGiving()
-	f.quotas.Stop(giving)
+// releaseState releases the quotas and budgets that this instance holds and
+// removes its entry, so that other instances take over its programs. While the
+// store is unavailable it retries until deadline. Tokens that are not released
+// count as spent for the programs they were granted to, and for later ones.
+func (f *front) releaseState(deadline time.Time) {
+	releaseCtx, cancelRelease := context.WithDeadline(context.Background(), deadline)
+	defer cancelRelease()
+	f.quotas.Stop(releaseCtx)
 	for {
-		err := f.accounts.Stop(giving)
+		err := f.accounts.Stop(releaseCtx)
 		if err == nil {
 			break
 		}
-		if !clock.Sleep(giving, leaveRetry) {
-			f.process.log.Warn("budgets not given back: they count as spent", "err", err)
+		if !clock.Sleep(releaseCtx, releaseRetryInterval) {
+			f.process.log.Warn("budgets not released before the deadline: their tokens count as spent", "err", err)
 			break
 		}
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), rowTime)
+	ctx, cancel := context.WithTimeout(context.Background(), deregisterTimeout)
 	defer cancel()
 	if err := f.directory.Leave(ctx, f.store); err != nil {
-		f.process.log.Warn("own entry not removed: other instances find out when they call", "err", err)
+		f.process.log.Warn("own entry not removed: other instances detect the stop when their requests fail", "err", err)
 	}
 }
 
-// serveUntil serves handler on listener until the context ends. Whoever
-// calls then is cut off, and must be: what is granted to another instance
-// after this one has given up what it holds is held by nobody who could give
-// it back.
+// serveUntil returns a function that serves handler on listener until its context
+// ends, and then closes all connections, also of requests in flight. They must
+// not complete: tokens granted to another instance after this one has released
+// its state would belong to no instance that could release them.
 func serveUntil(listener net.Listener, handler http.Handler, log *slog.Logger) func(context.Context, chan<- error) {
 	return func(ctx context.Context, done chan<- error) {
 		srv := &http.Server{Handler: logging.Panics(handler, log), ReadHeaderTimeout: 5 * time.Second, ErrorLog: slog.NewLogLogger(log.Handler(), slog.LevelWarn)}
@@ -272,21 +288,25 @@
 	}
 }
 
-// upkeep drops endpoints that did not come back and connections unused.
-func (f *front) upkeep(ctx context.Context, done chan<- error) {
-	clock.Every(ctx, upkeepInterval, func(now time.Time) {
+// maintain periodically drops endpoints that did not register again after an
+// outage of the store, idle connections, and the load of endpoints that are
+// gone, until ctx ends.
+func (f *front) maintain(ctx context.Context, done chan<- error) {
+	clock.Every(ctx, maintenanceInterval, func(now time.Time) {
 		for _, id := range f.list.Expire(now) {
-			f.process.log.Info("endpoint did not come back after the store's return", "endpoint", id)
+			f.process.log.Info("endpoint dropped: it did not register again after the store recovered", "endpoint", id)
 		}
 		f.client.Trim()
 		f.picker.Forget(f.list.Knows)
 	}, done)
 }
 
-// watchSettings logs changes of the settings file, told by SIGHUP or found.
-// All that may change while a process runs is taken from the store.
+// watchSettings loads the settings file on SIGHUP and when its modification time
+// changes, and logs differences from current, until ctx ends. Changes are not
+// applied: everything that may change in a running process is read from the
+// store.
 func watchSettings(ctx context.Context, path string, current *platform.Settings, hangups <-chan os.Signal, log *slog.Logger, done chan<- error) {
-	ticker := time.NewTicker(settingsInterval)
+	ticker := time.NewTicker(settingsPollInterval)
 	defer ticker.Stop()
 	modified := time.Time{}
 	for {
@@ -295,7 +315,7 @@
 			done <- nil
 			return
 		case <-hangups:
-			log.Info("reload asked for")
+			log.Info("settings reload requested by SIGHUP")
 		case <-ticker.C:
 			info, err := os.Stat(path)
 			if err != nil || info.ModTime().Equal(modified) {
@@ -305,7 +325,7 @@
 		}
 		next, err := platform.LoadSettings(path)
 		if err != nil {
-			log.Error("settings refused: the last ones stay in force", "err", err)
+			log.Error("settings refused: the previous settings remain in force", "err", err)
 			continue
 		}
 		if *next != *current {
--- a/cmd/wagtaildrum/load.go
+++ b/cmd/wagtaildrum/load.go
@@ -10,10 +10,12 @@
 	"github.com/wagtaildrum/wagtaildrum/load"
 )
 
+// experimentFlag is the flag that the load commands share.
 type experimentFlag struct {
 	File string `long:"file" short:"f" required:"true" description:"experiment file (TOML)"`
 }
 
+// loadFleetCommand is the load fleet command.
 type loadFleetCommand struct {
 	experimentFlag
 	Dir      string `long:"dir" required:"true" description:"where to write the settings"`
@@ -22,7 +24,7 @@
 	BasePort int    `long:"base-port" default:"21000" description:"first loopback port"`
 }
 
-// Execute writes the settings of an experiment's processes.
+// Execute writes the settings files of the processes of an experiment.
 func (c *loadFleetCommand) Execute([]string) error {
 	x, err := load.Load(c.File)
 	if err != nil {
@@ -31,6 +33,7 @@
 	return load.WriteFleet(x, c.Dir, load.FleetOptions{Routing: c.Routing, Order: c.Order, BasePort: c.BasePort})
 }
 
+// loadRunCommand is the load run command.
 type loadRunCommand struct {
 	experimentFlag
 	Targets string `long:"targets" required:"true" description:"targets.json of the fleet"`
@@ -38,7 +41,8 @@
 	Out     string `long:"out" required:"true" description:"where to write the result (JSON)"`
 }
 
-// Execute plays an experiment against a running fleet.
+// Execute runs the workload of an experiment against a running fleet, prints a
+// summary and writes the result.
 func (c *loadRunCommand) Execute([]string) error {
 	x, err := load.Load(c.File)
 	if err != nil {
@@ -48,7 +52,7 @@
 	if err != nil {
 		return err
 	}
-	ctx, stop := signalled()
+	ctx, stop := signalContext()
 	defer stop()
 	res, err := load.Run(ctx, x, targets, c.Label)
 	if err != nil {
@@ -59,6 +63,7 @@
 	return res.Write(c.Out)
 }
 
+// loadReportCommand is the load report command.
 type loadReportCommand struct {
 	experimentFlag
 	Dir  string `long:"dir" required:"true" description:"where to write the report and the plots"`
@@ -67,7 +72,7 @@
 	} `positional-args:"true"`
 }
 
-// Execute writes a Markdown report and PNG plots of several results.
+// Execute writes a Markdown report and PNG plots that compare several results.
 func (c *loadReportCommand) Execute([]string) error {
 	x, err := load.Load(c.File)
 	if err != nil {
@@ -98,6 +103,7 @@
 	return load.PlotWasted(filepath.Join(c.Dir, x.Name+"-wasted.png"), x, runs)
 }
 
+// addLoadCommands adds the load command and its subcommands to parser.
 func addLoadCommands(parser *flags.Parser) {
 	group, err := parser.AddCommand("load", "load and experiment tool", "Drives real processes on loopback, bounded in count and time.", &struct{}{})
 	must(group, err)
--- a/cmd/wagtaildrum/main.go
+++ b/cmd/wagtaildrum/main.go
@@ -1,7 +1,8 @@
-// Command wagtaildrum runs one process of the wagtaildrum scheduler for
-// agent programs: an entry instance, a sidecar beside an endpoint, the
-// operator's ctl, a stand-in for an outside system, or the workload
-// player. Each reads a TOML settings file; bad settings exit with code 2.
+// Command wagtaildrum runs one process of the wagtaildrum scheduler for agent
+// programs: an entry instance, a sidecar of an endpoint, an operator's command, a
+// stand-in for an external system, the load tool, or the workload player.
+// Settings files are TOML. Invalid settings or arguments exit with code 2, other
+// failures with code 1.
 package main
 
 import (
@@ -22,7 +23,7 @@
 
 func main() { os.Exit(run(os.Args[1:])) }
 
-// run parses args, runs the subcommand and returns the exit code.
+// run parses args, runs the selected command and returns the exit code.
 func run(args []string) int {
 	parser := flags.NewParser(nil, flags.HelpFlag|flags.PassDoubleDash)
 	parser.ShortDescription = "scheduler for agent programs"
@@ -45,19 +46,20 @@
 	if err == nil {
 		return 0
 	}
-	var ferr *flags.Error
-	if errors.As(err, &ferr) && ferr.Type == flags.ErrHelp {
+	var flagError *flags.Error
+	if errors.As(err, &flagError) && flagError.Type == flags.ErrHelp {
 		fmt.Println(err)
 		return 0
 	}
 	fmt.Fprintln(os.Stderr, "wagtaildrum:", err)
-	var serr *settings.Error
-	if errors.As(err, &serr) || errors.As(err, &ferr) {
+	var settingsError *settings.Error
+	if errors.As(err, &settingsError) || errors.As(err, &flagError) {
 		return exitBadSettings
 	}
 	return exitFailure
 }
 
+// must panics if a command cannot be added, which is a programming error.
 func must(_ any, err error) {
 	if err != nil {
 		panic(err)
--- a/cmd/wagtaildrum/main_test.go
+++ b/cmd/wagtaildrum/main_test.go
@@ -8,9 +8,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestBadSettingsExitTwo checks that every long-running subcommand refuses
-// a bad settings file with exit code 2 before it opens any socket.
-func TestBadSettingsExitTwo(t *testing.T) {
+// TestInvalidSettingsExitCode checks that commands reject an invalid or missing
+// settings file with exit code 2 before they open any socket.
+func TestInvalidSettingsExitCode(t *testing.T) {
 	dir := t.TempDir()
 	bad := filepath.Join(dir, "bad.toml")
 	require.NoError(t, os.WriteFile(bad, []byte("instance_id = \"x\"\nno_such_key = 1\n"), 0o600))
--- a/cmd/wagtaildrum/play.go
+++ b/cmd/wagtaildrum/play.go
@@ -10,6 +10,7 @@
 	"github.com/wagtaildrum/wagtaildrum/workload"
 )
 
+// playCommand is the play command.
 type playCommand struct {
 	Entry   string        `long:"entry" default:"http://127.0.0.1:8080" description:"base URL of an entry instance"`
 	Timeout time.Duration `long:"timeout" default:"2m" description:"stop playing after this long"`
@@ -19,8 +20,8 @@
 	} `positional-args:"true"`
 }
 
-// Execute plays each workload file in turn and prints each program's
-// outcome and whole-program latency.
+// Execute plays the workload files one after another and prints the outcome and
+// the total latency of each program.
 func (c *playCommand) Execute([]string) error {
 	ctx, cancel := context.WithTimeout(context.Background(), c.Timeout)
 	defer cancel()
--- a/cmd/wagtaildrum/process.go
+++ b/cmd/wagtaildrum/process.go
@@ -18,34 +18,37 @@
 	"github.com/wagtaildrum/wagtaildrum/logging"
 )
 
-// process holds what every long-running subcommand shares: its logger,
-// metrics, and the goroutines it started, each of which reports its end
-// on done.
+// process holds the state that all long-running commands share: the logger, the
+// metrics and the running goroutines.
 type process struct {
 	log     *slog.Logger
 	metrics *debug.Metrics
-	done    chan error
-	running int
+	done    chan error // receives the result of each goroutine
+	running int        // goroutines started
 }
 
+// newProcess returns a process of a role and an instance that logs to standard
+// error.
 func newProcess(role, instance string) *process {
 	return newLoggingProcess(role, instance, os.Stderr)
 }
 
-// newLoggingProcess is newProcess for a process that logs to out.
+// newLoggingProcess is like newProcess for a process that logs to out.
 func newLoggingProcess(role, instance string, out io.Writer) *process {
 	log := slog.New(logging.NewHandler(out)).With("role", role, "instance", instance)
 	return &process{log: log, metrics: debug.NewMetrics(role), done: make(chan error, 16)}
 }
 
-// goroutine starts f, which must report its end on done.
+// goroutine runs f in a new goroutine. f must send its result on done exactly
+// once, when it ends.
 func (p *process) goroutine(ctx context.Context, f func(ctx context.Context, done chan<- error)) {
 	p.running++
 	go f(ctx, p.done)
 }
 
-// serveHTTP serves h on addr until ctx ends, then shuts down gracefully,
-// waiting up to grace for requests in flight: a planned stop cuts none.
+// serveHTTP starts serving h on addr and returns. When ctx ends, the server shuts
+// down gracefully and waits up to grace for requests in flight, so that a planned
+// stop interrupts none of them. It returns an error if it cannot listen on addr.
 func (p *process) serveHTTP(ctx context.Context, addr string, h http.Handler, grace time.Duration) error {
 	ln, err := net.Listen("tcp", addr)
 	if err != nil {
@@ -55,28 +58,29 @@
 	return nil
 }
 
+// serveListener is like serveHTTP for an open listener.
 func (p *process) serveListener(ctx context.Context, ln net.Listener, h http.Handler, grace time.Duration) {
 	srv := &http.Server{Handler: h, ReadHeaderTimeout: 10 * time.Second}
 	p.goroutine(ctx, func(ctx context.Context, done chan<- error) {
-		errc := make(chan error, 1)
-		go func() { errc <- srv.Serve(ln) }()
+		serveDone := make(chan error, 1)
+		go func() { serveDone <- srv.Serve(ln) }()
 		select {
-		case err := <-errc:
+		case err := <-serveDone:
 			done <- err
 		case <-ctx.Done():
-			sctx, cancel := context.WithTimeout(context.Background(), grace)
+			shutdownCtx, cancel := context.WithTimeout(context.Background(), grace)
 			defer cancel()
-			err := srv.Shutdown(sctx)
-			if serr := <-errc; !errors.Is(serr, http.ErrServerClosed) {
-				err = errors.Join(err, serr)
+			err := srv.Shutdown(shutdownCtx)
+			if serveErr := <-serveDone; !errors.Is(serveErr, http.ErrServerClosed) {
+				err = errors.Join(err, serveErr)
 			}
 			done <- err
 		}
 	})
 }
 
-// serveDebug serves the state dump and metrics, and logs the state on
-// SIGUSR1.
+// serveDebug starts serving the state dump and the metrics on addr until ctx
+// ends, and logs the state on SIGUSR1.
 func (p *process) serveDebug(ctx context.Context, addr string, state debug.StateFunc) error {
 	if err := p.serveHTTP(ctx, addr, debug.Handler(state, p.metrics), time.Second); err != nil {
 		return err
@@ -85,22 +89,22 @@
 	return nil
 }
 
-// signalled returns a context that ends on SIGTERM or SIGINT, or when it is
-// cancelled. The signals stay handled until the process has ended: one that
-// comes while it stops would end it at once, with what is in flight.
-func signalled() (context.Context, context.CancelFunc) {
+// signalContext returns a context that ends on SIGTERM or SIGINT, or when it is
+// cancelled. The signals remain handled until the process exits: otherwise a
+// signal during shutdown would terminate the process with requests in flight.
+func signalContext() (context.Context, context.CancelFunc) {
 	ctx, _ := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	return context.WithCancel(ctx)
 }
 
-// wait waits for every goroutine to report its end, and returns the first
-// error reported. If one ends early with an error, stop is called so the
-// others end too.
+// wait waits until every goroutine has ended and returns the first error other
+// than http.ErrServerClosed. After each such error it calls stop, which must end
+// the other goroutines.
 func (p *process) wait(stop context.CancelFunc) error {
 	var first error
 	for range p.running {
 		if err := <-p.done; err != nil && !errors.Is(err, http.ErrServerClosed) {
-			p.log.Error("goroutine ended", "err", err)
+			p.log.Error("goroutine failed; stopping the process", "err", err)
 			if first == nil {
 				first = err
 			}
--- a/cmd/wagtaildrum/sidecar.go
+++ b/cmd/wagtaildrum/sidecar.go
@@ -11,23 +11,25 @@
 	"github.com/wagtaildrum/wagtaildrum/tableservice"
 )
 
+// sidecarCommand is the sidecar command.
 type sidecarCommand struct {
 	Settings string `long:"settings" short:"s" required:"true" description:"TOML settings file"`
 }
 
-// Execute runs a sidecar until SIGTERM. A planned stop first drains: new
-// calls are refused as "draining" (so entries route elsewhere at once),
-// the instance is marked leaving, calls in flight finish, then it exits.
+// Execute runs a sidecar until SIGTERM or SIGINT. It then drains: it rejects new
+// calls as draining, so that entry instances route them elsewhere at once, marks
+// the instance as leaving, and exits after the calls in flight have completed, or
+// after drain_timeout.
 func (c *sidecarCommand) Execute([]string) error {
 	s, err := settings.Load[settings.Sidecar](c.Settings)
 	if err != nil {
 		return err
 	}
 	p := newProcess("sidecar", s.InstanceID)
-	sig, stopSig := signalled()
+	sig, stopSig := signalContext()
 	defer stopSig()
-	// The peer server outlives the signal: it must keep answering
-	// (refusing as draining) until calls in flight are done.
+	// The peer server keeps running after the signal: it must reject new calls
+	// as draining until the calls in flight have completed.
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
 	sc := sidecar.New(s, clock.Real{}, p.log, p.metrics.Scope())
@@ -43,7 +45,7 @@
 	pc := tableservice.NewClient(s.Platform, 2*time.Second)
 	self := tableservice.Instance{ID: s.InstanceID, Address: srv.Addr(), State: tableservice.InstanceLive}
 	if err := pc.SetInstance(ctx, self); err != nil {
-		p.log.Warn("instance list not updated", "err", err)
+		p.log.Warn("instance not marked live in the instance list; serving anyway", "err", err)
 	}
 	p.log.Info("sidecar started", "listen", srv.Addr(), "endpoint", s.Endpoint, "role", s.Role)
 	p.goroutine(ctx, func(ctx context.Context, done chan<- error) {
@@ -58,19 +60,21 @@
 	return p.wait(stop)
 }
 
+// drain rejects new calls, marks the instance as leaving in the instance list,
+// and waits until no call is in flight or timeout has passed.
 func drain(p *process, sc *sidecar.Sidecar, pc *tableservice.Client, self tableservice.Instance, timeout time.Duration) {
 	idle := sc.Drain()
 	p.log.Info("sidecar draining", "timeout", timeout)
 	self.State = tableservice.InstanceLeaving
 	ctx, cancel := context.WithTimeout(context.Background(), 2*time.Second)
 	if err := pc.SetInstance(ctx, self); err != nil {
-		p.log.Warn("instance list not updated", "err", err)
+		p.log.Warn("instance not marked leaving in the instance list; draining anyway", "err", err)
 	}
 	cancel()
 	select {
 	case <-idle:
 		p.log.Info("sidecar drained")
 	case <-time.After(timeout):
-		p.log.Warn("drain timed out with calls in flight")
+		p.log.Warn("drain timed out; stopping with calls in flight")
 	}
 }
--- a/cmd/wagtaildrum/standin.go
+++ b/cmd/wagtaildrum/standin.go
@@ -7,18 +7,19 @@
 	"github.com/wagtaildrum/wagtaildrum/standin"
 )
 
+// engineCommand is the standin engine command.
 type engineCommand struct {
 	Settings string `long:"settings" short:"s" required:"true" description:"TOML settings file"`
 }
 
-// Execute runs the engine stand-in until SIGTERM.
+// Execute runs the engine stand-in until SIGTERM or SIGINT.
 func (c *engineCommand) Execute([]string) error {
 	s, err := settings.Load[settings.Engine](c.Settings)
 	if err != nil {
 		return err
 	}
 	p := newProcess("engine", s.InstanceID)
-	ctx, stop := signalled()
+	ctx, stop := signalContext()
 	defer stop()
 	eng := standin.NewEngine(standin.EngineSpec{Model: s.Model, Step: s.Step, StepPerSequence: s.StepPerSequence, MaxBatch: s.MaxBatch,
 		PrefillTokens: s.PrefillTokens, CacheBlocks: s.CacheBlocks, BlockTokens: s.BlockTokens, ReportLag: s.ReportLag, EventLossPercent: s.EventLossPercent})
@@ -33,18 +34,19 @@
 	return p.wait(stop)
 }
 
+// toolCommand is the standin tool command.
 type toolCommand struct {
 	Settings string `long:"settings" short:"s" required:"true" description:"TOML settings file"`
 }
 
-// Execute runs the tool stand-in until SIGTERM.
+// Execute runs the tool stand-in until SIGTERM or SIGINT.
 func (c *toolCommand) Execute([]string) error {
 	s, err := settings.Load[settings.Tool](c.Settings)
 	if err != nil {
 		return err
 	}
 	p := newProcess("tool", s.InstanceID)
-	ctx, stop := signalled()
+	ctx, stop := signalContext()
 	defer stop()
 	t := standin.NewTool(s.Hang, s.Work)
 	if err := p.serveDebug(ctx, s.Debug, t.State); err != nil {
@@ -57,18 +59,19 @@
 	return p.wait(stop)
 }
 
+// platformCommand is the standin platform command.
 type platformCommand struct {
 	Settings string `long:"settings" short:"s" required:"true" description:"TOML settings file"`
 }
 
-// Execute runs the platform stand-in until SIGTERM.
+// Execute runs the platform stand-in until SIGTERM or SIGINT.
 func (c *platformCommand) Execute([]string) error {
 	s, err := settings.Load[settings.Platform](c.Settings)
 	if err != nil {
 		return err
 	}
 	p := newProcess("platform", s.InstanceID)
-	ctx, stop := signalled()
+	ctx, stop := signalContext()
 	defer stop()
 	pl := standin.NewPlatform(s.InstanceLag, time.Now)
 	pl.SetLimits(standin.Limits{WritesPerSecond: s.WritesPerSecond, ReadsPerSecond: s.ReadsPerSecond, Table: s.TableTime, Object: s.ObjectTime})
--- a/cmd/wagtaildrum/stop_test.go
+++ b/cmd/wagtaildrum/stop_test.go
@@ -17,13 +17,14 @@
 	"github.com/stretchr/testify/require"
 )
 
-// callListener accepts the connections of one caller within the process.
-type callListener struct {
+// pipeListener is a net.Listener that accepts the in-memory connections sent on
+// conns.
+type pipeListener struct {
 	conns  chan net.Conn
 	closed chan struct{}
 }
 
-func (listener *callListener) Accept() (net.Conn, error) {
+func (listener *pipeListener) Accept() (net.Conn, error) {
 	select {
 	case conn := <-listener.conns:
 		return conn, nil
@@ -32,18 +33,19 @@
 	}
 }
 
-func (listener *callListener) Close() error {
+func (listener *pipeListener) Close() error {
 	close(listener.closed)
 	return nil
 }
 
-func (listener *callListener) Addr() net.Addr { return &net.IPAddr{} }
+func (listener *pipeListener) Addr() net.Addr { return &net.IPAddr{} }
 
-// callDuringStop has handler serve a call, ends the work once it is under way,
-// and returns what was answered and how long the end took.
-func callDuringStop(t *testing.T, handler http.HandlerFunc) (answer string, took time.Duration) {
+// requestDuringStop sends a request to a server with handler and stops the server
+// once the request is in flight. It returns the response body, or the text of the
+// error that the client received, and how long the stop took.
+func requestDuringStop(t *testing.T, handler http.HandlerFunc) (result string, took time.Duration) {
 	t.Helper()
-	listener := &callListener{conns: make(chan net.Conn), closed: make(chan struct{})}
+	listener := &pipeListener{conns: make(chan net.Conn), closed: make(chan struct{})}
 	client := &http.Client{Transport: &http.Transport{DisableKeepAlives: true, DialContext: func(context.Context, string, string) (net.Conn, error) {
 		near, far := net.Pipe()
 		listener.conns <- far
@@ -51,61 +53,63 @@
 	}}}
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
-	asked, done := make(chan struct{}), make(chan error, 1)
+	started, done := make(chan struct{}), make(chan error, 1)
 	go serveUntil(listener, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		close(asked)
+		close(started)
 		handler(w, r)
 	}), slog.New(slog.DiscardHandler))(ctx, done)
-	answers := make(chan string, 1)
+	results := make(chan string, 1)
 	go func() {
 		response, err := client.Get("http://home.example")
 		if err != nil {
-			answers <- err.Error()
+			results <- err.Error()
 			return
 		}
 		body, err := io.ReadAll(response.Body)
 		if err != nil {
 			body = []byte(err.Error())
 		}
-		answers <- string(body)
+		results <- string(body)
 	}()
-	<-asked
-	began := time.Now()
+	<-started
+	stopStarted := time.Now()
 	cancel()
 	require.ErrorIs(t, <-done, http.ErrServerClosed)
-	return <-answers, time.Since(began)
+	return <-results, time.Since(stopStarted)
 }
 
-// Guards against a call that is still worked on after the instance asked has given up what it holds.
-func TestCallOfOtherInstanceOutlivesWork(t *testing.T) {
+// Guards against a request of another instance that is processed after this
+// instance has released its state: the stop must close its connection.
+func TestStopClosesConnectionOfOtherInstance(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ended := make(chan struct{})
-		answer, took := callDuringStop(t, func(w http.ResponseWriter, r *http.Request) {
+		result, took := requestDuringStop(t, func(w http.ResponseWriter, r *http.Request) {
 			<-r.Context().Done()
 			_, _ = io.WriteString(w, "lent")
 			close(ended)
 		})
 		assert.Zero(t, took)
-		assert.Contains(t, answer, "EOF")
+		assert.Contains(t, result, "EOF")
 		<-ended
 	})
 }
 
-// Guards against a stop that a call of another instance holds up.
-func TestCallOfOtherInstanceHoldsStopUp(t *testing.T) {
+// Guards against a stop that waits for the handler of another instance's request.
+func TestStopDoesNotWaitForHandler(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		_, took := callDuringStop(t, func(http.ResponseWriter, *http.Request) { time.Sleep(time.Second) })
+		_, took := requestDuringStop(t, func(http.ResponseWriter, *http.Request) { time.Sleep(time.Second) })
 		assert.Zero(t, took)
 		time.Sleep(time.Second) // the handler ends
 	})
 }
 
-// Guards against requests cut off by a signal to stop that comes while an instance stops of itself.
-func TestSignalEndsProcessThatStopsOfItself(t *testing.T) {
+// Guards against requests interrupted by a SIGTERM that arrives while the
+// instance is already stopping for another reason.
+func TestSignalDuringStopIsHandled(t *testing.T) {
 	t.Cleanup(func() { signal.Reset(syscall.SIGTERM, syscall.SIGINT) })
-	ctx, stop := signalled()
+	ctx, stop := signalContext()
 	stop()
 	<-ctx.Done()
 	require.NoError(t, syscall.Kill(os.Getpid(), syscall.SIGTERM))
-	time.Sleep(50 * time.Millisecond) // the signal is handled, or ends this process
+	time.Sleep(50 * time.Millisecond) // an unhandled signal would terminate the test process here
 }
