--- a/cmd/wagtaildrum/front.go
+++ b/cmd/wagtaildrum/front.go
@@ -251,7 +251,7 @@
 // releaseState releases the quotas and budgets that this instance holds and
 // removes its entry, so that other instances take over its programs. While the
 // store is unavailable it retries until deadline. Tokens that are not released
-// count as spent for the programs they were granted to, and for later ones.
+// count as spent, for the instance's programs and for new ones.
 func (f *front) releaseState(deadline time.Time) {
 	releaseCtx, cancelRelease := context.WithDeadline(context.Background(), deadline)
 	defer cancelRelease()
@@ -289,8 +289,8 @@
 }
 
 // maintain periodically drops endpoints that did not register again after an
-// outage of the store, idle connections, and the load of endpoints that are
-// gone, until ctx ends.
+// outage of the store, idle connections, and the records of incarnations of
+// endpoints that are no longer listed, until ctx ends.
 func (f *front) maintain(ctx context.Context, done chan<- error) {
 	clock.Every(ctx, maintenanceInterval, func(now time.Time) {
 		for _, id := range f.list.Expire(now) {
--- a/cmd/wagtaildrum/main.go
+++ b/cmd/wagtaildrum/main.go
@@ -29,7 +29,7 @@
 	parser.ShortDescription = "scheduler for agent programs"
 	must(parser.AddCommand("entry", "run an entry instance", "Serves the callers' API and owns programs.", &entryCommand{}))
 	must(parser.AddCommand("front", "run an entry instance on the users' platform", "Serves the platform's callers; state is kept in its store.", &frontCommand{}))
-	must(parser.AddCommand("sidecar", "run the sidecar beside an endpoint", "Admits, fences and drains calls to one engine or tool service.", &sidecarCommand{}))
+	must(parser.AddCommand("sidecar", "run the sidecar of an endpoint", "Admits, fences and drains calls to one engine or tool service.", &sidecarCommand{}))
 	ctl, err := parser.AddCommand("ctl", "operator commands", "Plan and apply configuration changes.", &struct{}{})
 	must(ctl, err)
 	must(ctl.AddCommand("apply", "plan a configuration change, write it with --confirm", "Shows the plan; nothing is written without --confirm.", &applyCommand{}))
@@ -40,7 +40,7 @@
 	must(standin.AddCommand("tool", "tool service stand-in", "", &toolCommand{}))
 	must(standin.AddCommand("platform", "platform stand-in (table, objects, instance list)", "", &platformCommand{}))
 	addLoadCommands(parser)
-	must(parser.AddCommand("play", "play workload files against an entry instance", "Prints each program's outcome and whole-program latency.", &playCommand{}))
+	must(parser.AddCommand("play", "play workload files against an entry instance", "Prints the outcome and the total latency of each program.", &playCommand{}))
 
 	_, err = parser.ParseArgs(args)
 	if err == nil {
