--- a/settings/roles.go
+++ b/settings/roles.go
@@ -63,9 +63,8 @@
 const (
 	DefaultPrefillRate = 100_000
 	DefaultBlockTokens = 16
-	// DefaultJournalInterval allows 50 writes and 50 deletions per second and
-	// instance, so that a dozen entry instances stay within the several hundred
-	// per second that a store accepts.
+	// DefaultJournalInterval allows 50 writes a second, and as many
+	// deletions: a dozen entry instances within a store's several hundred.
 	DefaultJournalInterval = 20 * time.Millisecond
 )
 
