--- a/routing/doc.go
+++ b/routing/doc.go
@@ -1,7 +1,9 @@
-// Package routing decides which endpoint takes a call. It does no input or
-// output: the entry package tells it the endpoints of the configuration,
-// asks it to pick one for each call, and reports how the call went.
+// Package routing selects the endpoint that serves each call. It does no
+// input or output: the entry package supplies the endpoints of the
+// configuration, requests one endpoint for each call, and reports the outcome
+// of the call.
 //
-// What an endpoint holds in its prefix cache is known from the calls sent
-// to it, and corrected by what its answers and its sidecar's reports say.
+// The contents of an endpoint's prefix cache are estimated from the calls
+// sent to it, and corrected by the usage in its responses and by its
+// sidecar's reports of evicted blocks.
 package routing
--- a/routing/endpoint.go
+++ b/routing/endpoint.go
@@ -7,35 +7,37 @@
 )
 
 const (
-	// defaultLimit is how many calls an endpoint is taken to run at once
-	// until its sidecar has said.
+	// defaultLimit is the number of concurrent calls assumed for an endpoint
+	// until its sidecar has reported its limit.
 	defaultLimit = 12
-	// defaultService is the time of a call until one has been measured.
-	defaultService = 50 * time.Millisecond
-	// serviceWeight is the weight of a new measurement in the mean.
+	// defaultServiceTime is the service time assumed for a call until one has
+	// been measured.
+	defaultServiceTime = 50 * time.Millisecond
+	// serviceWeight is the weight of a new measurement in the exponential
+	// moving average of the service time.
 	serviceWeight = 0.1
-	// othersHalfLife is how fast the load that other entry instances put on
-	// an endpoint, known only from its last report, is forgotten.
-	othersHalfLife = 500 * time.Millisecond
+	// otherCallsHalfLife is the interval after which the load from other
+	// entry instances, known only from the endpoint's last report, is halved.
+	otherCallsHalfLife = 500 * time.Millisecond
 )
 
-// Endpoint is what a router knows of one endpoint. It is guarded by the
-// router's lock.
+// Endpoint holds the state that a router keeps for one endpoint. It is
+// guarded by the router's lock.
 type Endpoint struct {
 	spec     config.Endpoint
 	inFlight int
-	// unread are the prompt tokens of calls in flight that the endpoint is
-	// expected to read before their first token.
-	unread   int
-	limit    int
-	others   int
-	othersAt time.Time
-	service  time.Duration
-	report   uint64
+	// unread is the number of prompt tokens of calls in flight that the
+	// endpoint is expected to prefill before their first output token.
+	unread       int
+	limit        int
+	otherCalls   int
+	otherCallsAt time.Time
+	serviceTime  time.Duration
+	lastReport   uint64
 }
 
 func newEndpoint(spec config.Endpoint) *Endpoint {
-	return &Endpoint{spec: spec, limit: defaultLimit, service: defaultService}
+	return &Endpoint{spec: spec, limit: defaultLimit, serviceTime: defaultServiceTime}
 }
 
 // Spec returns the endpoint's configuration.
@@ -44,50 +46,57 @@
 // Name returns the endpoint's name.
 func (e *Endpoint) Name() string { return e.spec.Name }
 
-// Load returns the calls the endpoint is thought to have now: this
-// instance's own, and others' as last reported, fading.
+// Load returns the estimated number of calls at the endpoint: those in flight
+// from this entry instance, plus those of other instances as last reported,
+// decayed by the age of the report.
 func (e *Endpoint) Load(now time.Time) float64 {
-	others := float64(e.others)
-	for age := now.Sub(e.othersAt); age > othersHalfLife && others > 0.5; age -= othersHalfLife {
-		others /= 2
+	otherCalls := float64(e.otherCalls)
+	for age := now.Sub(e.otherCallsAt); age > otherCallsHalfLife && otherCalls > 0.5; age -= otherCallsHalfLife {
+		otherCalls /= 2
 	}
-	return float64(e.inFlight) + others
+	return float64(e.inFlight) + otherCalls
 }
 
-// wait estimates how long a call sent now waits for a slot.
+// wait estimates how long a call sent at now waits for a slot.
 func (e *Endpoint) wait(now time.Time) time.Duration {
-	over := e.Load(now) + 1 - float64(e.limit)
-	if over <= 0 {
+	excess := e.Load(now) + 1 - float64(e.limit)
+	if excess <= 0 {
 		return 0
 	}
-	return time.Duration(over / float64(e.limit) * float64(e.service))
+	return time.Duration(excess / float64(e.limit) * float64(e.serviceTime))
 }
 
-// Report is what a sidecar says of its endpoint at the end of a call.
+// Report holds the state of an endpoint that its sidecar sends at the end of
+// a call.
 type Report struct {
-	// Running, Waiting and Limit describe the sidecar's admission gate.
+	// Running and Waiting count the calls at the sidecar's admission gate,
+	// and Limit is the number of calls that it admits at once.
 	Running, Waiting, Limit int
-	// Sequence numbers the endpoint's reports of removed blocks.
+	// Sequence is the number of the endpoint's latest report of removed
+	// blocks.
 	Sequence uint64
-	// Removed are blocks that left the endpoint's prefix cache since the
-	// report this instance saw last; Reset: there are too many to list.
+	// Removed lists the blocks evicted from the endpoint's prefix cache since
+	// the report that the call named as the last one seen. Reset is set
+	// instead when the list is too long or the reports in between are
+	// unavailable: every block recorded for the endpoint is then invalid.
 	Removed []uint64
 	Reset   bool
 }
 
 func (e *Endpoint) observe(r *Report, now time.Time) {
 	e.limit = max(r.Limit, 1)
-	// The gate counts this instance's calls too; the rest are others'.
-	e.others = max(0, r.Running+r.Waiting-e.inFlight)
-	e.othersAt = now
+	// Running and Waiting include the calls of this instance; the remainder
+	// is the load of other instances.
+	e.otherCalls = max(0, r.Running+r.Waiting-e.inFlight)
+	e.otherCallsAt = now
 	if r.Reset {
-		// The sidecar may have restarted and count anew.
-		e.report = r.Sequence
+		// The sidecar may have restarted, which starts its numbering again.
+		e.lastReport = r.Sequence
 		return
 	}
-	e.report = max(e.report, r.Sequence)
+	e.lastReport = max(e.lastReport, r.Sequence)
 }
 
-func (e *Endpoint) served(took time.Duration) {
-	e.service += time.Duration(serviceWeight * float64(took-e.service))
+func (e *Endpoint) recordServiceTime(elapsed time.Duration) {
+	e.serviceTime += time.Duration(serviceWeight * float64(elapsed-e.serviceTime))
 }
--- a/routing/index.go
+++ b/routing/index.go
@@ -6,31 +6,36 @@
 	"github.com/hashicorp/golang-lru/v2/simplelru"
 )
 
-// anchorHolders bounds the endpoints kept per anchor.
-const anchorHolders = 16
+// maxHoldersPerAnchor bounds the endpoints recorded for one anchor.
+const maxHoldersPerAnchor = 16
 
-// index remembers which endpoints are thought to hold which prompt blocks.
-// Of each prompt it keeps only some blocks, its anchors: at depths 1, 2, 4,
-// 8 and so on, and the last. A prompt that shares a prefix with it is then
-// found with at most half of the shared blocks missed, in a number of
-// look-ups that grows with the logarithm of its length.
+// cacheIndex records which endpoints are expected to hold which prompt blocks
+// in their prefix cache. Of each prompt it records only the anchors: the
+// blocks at depths 1, 2, 4, 8 and so on, and the last one. The lookup of a
+// prompt that shares a prefix with a recorded one then underestimates the
+// shared blocks by at most half, with a number of lookups logarithmic in the
+// prompt's length.
 //
-// Of an anchor's holders the latest anchorHolders are kept: a prompt that
-// the whole fleet holds must not make every decision weigh the whole fleet.
-type index struct {
+// Only the latest maxHoldersPerAnchor holders of an anchor are kept, so that
+// a decision for a prompt cached by the whole fleet does not evaluate the
+// whole fleet. Anchors beyond the capacity are evicted in least recently used
+// order.
+type cacheIndex struct {
 	anchors *simplelru.LRU[uint64, []*Endpoint]
 }
 
-func newIndex(size int) *index {
+func newCacheIndex(size int) *cacheIndex {
 	lru, err := simplelru.NewLRU[uint64, []*Endpoint](size, nil)
 	if err != nil {
-		panic(err) // only for a size below 1
+		panic(err) // NewLRU fails only for a size below 1
 	}
-	return &index{anchors: lru}
+	return &cacheIndex{anchors: lru}
 }
 
-// Anchors returns the depths, in blocks, of a prompt's anchors: powers of
-// two, the hints that lie within it, and its last block; ascending.
+// Anchors returns the depths, in blocks, of the anchors of a prompt of the
+// given number of blocks, in ascending order: the powers of two below that
+// number, the hints that lie within the prompt, and the last block. It
+// returns nil for a prompt without blocks.
 func Anchors(blocks int, hints ...int) []int {
 	var depths []int
 	for d := 1; d < blocks; d *= 2 {
@@ -48,9 +53,10 @@
 	return slices.Compact(depths)
 }
 
-// depths returns, for each endpoint known to hold part of the prompt, how
-// many of its leading blocks it holds.
-func (x *index) depths(req *Request) map[*Endpoint]int {
+// depths returns, for each endpoint recorded as a holder of any anchor of the
+// prompt, the depth of its deepest anchor: the number of leading blocks that
+// it is expected to hold.
+func (x *cacheIndex) depths(req *Request) map[*Endpoint]int {
 	if len(req.Prompt) == 0 {
 		return nil
 	}
@@ -67,37 +73,37 @@
 	return held
 }
 
-// add notes that ep holds the anchors of a prompt.
-func (x *index) add(ep *Endpoint, req *Request) {
+// add records ep as a holder of the prompt's anchors.
+func (x *cacheIndex) add(ep *Endpoint, req *Request) {
 	for _, d := range req.anchors() {
 		h := req.Prompt[d-1]
 		eps, _ := x.anchors.Get(h)
 		if slices.Contains(eps, ep) {
 			continue
 		}
-		if len(eps) >= anchorHolders {
+		if len(eps) >= maxHoldersPerAnchor {
 			eps = eps[1:]
 		}
 		x.anchors.Add(h, append(slices.Clone(eps), ep))
 	}
 }
 
-// remove notes that ep no longer holds block h.
-func (x *index) remove(ep *Endpoint, h uint64) {
+// remove records that ep no longer holds the block with hash h.
+func (x *cacheIndex) remove(ep *Endpoint, h uint64) {
 	eps, ok := x.anchors.Peek(h)
 	if !ok {
 		return
 	}
-	left := slices.DeleteFunc(slices.Clone(eps), func(e *Endpoint) bool { return e == ep })
-	if len(left) == 0 {
+	remaining := slices.DeleteFunc(slices.Clone(eps), func(e *Endpoint) bool { return e == ep })
+	if len(remaining) == 0 {
 		x.anchors.Remove(h)
 		return
 	}
-	x.anchors.Add(h, left)
+	x.anchors.Add(h, remaining)
 }
 
-// forget notes that ep holds nothing.
-func (x *index) forget(ep *Endpoint) {
+// forget removes ep from all anchors.
+func (x *cacheIndex) forget(ep *Endpoint) {
 	for _, h := range x.anchors.Keys() {
 		x.remove(ep, h)
 	}
--- a/routing/policy.go
+++ b/routing/policy.go
@@ -7,14 +7,15 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Policy chooses among candidates, of which there is at least one. held
-// tells how many leading blocks of the prompt a candidate is thought to
-// hold. Policies are called under the router's lock.
+// Policy selects an endpoint among candidates, of which there is at least
+// one. held is the number of leading blocks of the prompt that each candidate
+// is expected to hold in its prefix cache. Choose is called under the
+// router's lock.
 type Policy interface {
 	Choose(req *Request, candidates []*Endpoint, held map[*Endpoint]int, now time.Time) *Endpoint
 }
 
-// Names of the policies, as settings give them.
+// Names of the policies as they stand in the settings.
 const (
 	NameAffinity    = "affinity"
 	NameLeastLoaded = "least_loaded"
@@ -22,17 +23,19 @@
 	NameRendezvous  = "rendezvous"
 )
 
-// PolicyNames lists the names NewPolicy knows.
+// PolicyNames lists the names that NewPolicy accepts.
 var PolicyNames = []string{NameAffinity, NameLeastLoaded, NameRoundRobin, NameRendezvous}
 
-// PolicyError says a policy's name is not known.
+// PolicyError is returned for an unknown policy name.
 type PolicyError struct{ name string }
 
-// Error quotes the name.
-func (e *PolicyError) Error() string { return fmt.Sprintf("no routing policy %q", e.name) }
+// Error returns a message that quotes the name.
+func (e *PolicyError) Error() string { return fmt.Sprintf("unknown routing policy %q", e.name) }
 
-// NewPolicy returns the policy of a name. tokensPerSecond is how fast an
-// engine reads a prompt; Affinity weighs cache against load with it.
+// NewPolicy returns the policy with the given name, or a *PolicyError if the
+// name is unknown. tokensPerSecond is the prefill rate of an engine, which
+// Affinity uses to weigh cached blocks against load; the other policies
+// ignore it.
 func NewPolicy(name string, tokensPerSecond float64) (Policy, error) {
 	switch name {
 	case NameAffinity:
@@ -47,7 +50,8 @@
 	return nil, &PolicyError{name: name}
 }
 
-// RoundRobin takes the candidates in turn. It is a baseline.
+// RoundRobin selects the candidates in rotation. It serves as a baseline for
+// comparisons.
 type RoundRobin struct{ next int }
 
 // Choose implements Policy.
@@ -56,45 +60,47 @@
 	return candidates[r.next%len(candidates)]
 }
 
-// LeastLoaded takes the candidate with the fewest calls. It is a baseline,
-// and the policy for endpoints without a cache.
+// LeastLoaded selects the candidate with the fewest calls. It serves as a
+// baseline for comparisons and as the policy for endpoints without a prefix
+// cache.
 type LeastLoaded struct{}
 
 // Choose implements Policy.
 func (LeastLoaded) Choose(req *Request, candidates []*Endpoint, _ map[*Endpoint]int, now time.Time) *Endpoint {
-	return cheapest(req, candidates, func(ep *Endpoint) float64 { return ep.Load(now) })
+	return lowestCost(req, candidates, func(ep *Endpoint) float64 { return ep.Load(now) })
 }
 
-// cheapest returns the candidate of the lowest cost; of several, the
-// rendezvous choice of the request's key, so that ties spread over the
-// endpoints and every entry instance breaks them alike.
-func cheapest(req *Request, candidates []*Endpoint, cost func(*Endpoint) float64) *Endpoint {
+// lowestCost returns the candidate with the lowest cost. Ties are broken by
+// the rendezvous weight of the request's key, which spreads them over the
+// endpoints and gives the same result at every entry instance.
+func lowestCost(req *Request, candidates []*Endpoint, cost func(*Endpoint) float64) *Endpoint {
 	best, lowest := candidates[0], cost(candidates[0])
 	for _, ep := range candidates[1:] {
 		c := cost(ep)
-		if c < lowest || (c == lowest && weight(req.Key, ep.Name()) > weight(req.Key, best.Name())) {
+		if c < lowest || (c == lowest && rendezvousWeight(req.Key, ep.Name()) > rendezvousWeight(req.Key, best.Name())) {
 			best, lowest = ep, c
 		}
 	}
 	return best
 }
 
-// Rendezvous takes the candidate of the highest weight for the request's
-// key, whatever its load: the project's first policy, kept as a baseline.
+// Rendezvous selects the candidate with the highest rendezvous weight for the
+// request's key, without regard to load. It was the first policy of the
+// project and serves as a baseline for comparisons.
 type Rendezvous struct{}
 
 // Choose implements Policy.
 func (Rendezvous) Choose(req *Request, candidates []*Endpoint, _ map[*Endpoint]int, _ time.Time) *Endpoint {
-	best, highest := candidates[0], weight(req.Key, candidates[0].Name())
+	best, highest := candidates[0], rendezvousWeight(req.Key, candidates[0].Name())
 	for _, ep := range candidates[1:] {
-		if w := weight(req.Key, ep.Name()); w > highest {
+		if w := rendezvousWeight(req.Key, ep.Name()); w > highest {
 			best, highest = ep, w
 		}
 	}
 	return best
 }
 
-func weight(key, endpoint string) uint64 {
+func rendezvousWeight(key, endpoint string) uint64 {
 	d := xxhash.New()
 	_, _ = d.WriteString(key)
 	_, _ = d.WriteString("\x00")
@@ -102,28 +108,29 @@
 	return d.Sum64()
 }
 
-// Affinity takes the candidate that is expected to give the first token
-// soonest: the time to read what it does not hold of the prompt, after what
-// calls before it still have to read, plus the wait for a slot. A hot
-// prefix therefore stays where it is cached until the queue there costs
-// more than reading it again elsewhere, and then spreads.
+// Affinity selects the candidate with the lowest expected time to first
+// token: the time to prefill the uncached tokens of the prompt and those of
+// calls already queued there, plus the wait for a slot. A prefix in demand is
+// therefore served where it is cached until the queue there costs more than a
+// prefill elsewhere, and then spreads to other endpoints.
 type Affinity struct {
-	// TokensPerSecond is how fast an engine reads a prompt.
+	// TokensPerSecond is the prefill rate of an engine.
 	TokensPerSecond float64
 }
 
-// perCall is the cost of one more call in an endpoint's batch: it slows the
-// others' steps a little, and breaks ties towards the less loaded.
-const perCall = 100 * time.Microsecond
+// costPerCall is the cost of each call already in an endpoint's batch. An
+// additional call slows the steps of the others slightly; the term also
+// breaks ties towards the less loaded endpoint.
+const costPerCall = 100 * time.Microsecond
 
 // Choose implements Policy.
 func (a *Affinity) Choose(req *Request, candidates []*Endpoint, held map[*Endpoint]int, now time.Time) *Endpoint {
-	return cheapest(req, candidates, func(ep *Endpoint) float64 {
+	return lowestCost(req, candidates, func(ep *Endpoint) float64 {
 		return a.cost(ep, req.unread(held[ep]), now).Seconds()
 	})
 }
 
 func (a *Affinity) cost(ep *Endpoint, unread int, now time.Time) time.Duration {
 	read := float64(unread+ep.unread) / a.TokensPerSecond * float64(time.Second)
-	return time.Duration(read) + ep.wait(now) + time.Duration(ep.Load(now)*float64(perCall))
+	return time.Duration(read) + ep.wait(now) + time.Duration(ep.Load(now)*float64(costPerCall))
 }
--- a/routing/router.go
+++ b/routing/router.go
@@ -11,34 +11,39 @@
 )
 
 const (
-	// sampleAbove is the group size above which only some endpoints are
-	// weighed for a call: those that hold part of its prompt, the
-	// rendezvous choice of its key within a slice, and samples at random.
-	// The cost of a decision then does not grow with the fleet.
-	sampleAbove = 64
-	samples     = 8
-	// indexSize bounds the anchors kept; about 130 bytes each.
-	indexSize = 100_000
+	// maxUnsampledGroup is the largest group in which every endpoint is
+	// evaluated for a call. In a larger group the candidates are the
+	// endpoints that hold part of the prompt, a run of endpoints at an offset
+	// derived from the request's key, and random samples. The cost of a
+	// decision then does not grow with the fleet.
+	maxUnsampledGroup = 64
+	sampleSize        = 8
+	// maxAnchors bounds the anchors in the cache index, each of which takes
+	// about 130 bytes.
+	maxAnchors = 100_000
 )
 
-// Target is what a call needs: a model for an engine call, a tool name
-// for a tool call.
+// Target is the capability that a call needs: a model for an engine call, a
+// tool name for a tool call.
 type Target struct {
 	Model string
 	Tool  string
 }
 
-// Request is a call to be routed.
+// Request describes a call to be routed. It is not safe for concurrent use.
 type Request struct {
 	Target Target
-	// Key is the program, or for a call outside programs its first message.
+	// Key is the program's ID, or the first message of a call outside any
+	// program.
 	Key string
-	// Prompt holds the hashes of the prompt's whole blocks; empty for tools.
+	// Prompt holds the hashes of the prompt's full blocks. It is empty for a
+	// tool call.
 	Prompt []uint64
-	// Tokens is the prompt's length and BlockTokens a block's.
+	// Tokens is the length of the prompt in tokens, and BlockTokens that of a
+	// block.
 	Tokens, BlockTokens int
-	// Hint is the depth in blocks of the program's prompt before this one;
-	// 0: none.
+	// Hint is the depth, in blocks, of the program's previous prompt, or 0 if
+	// there is none.
 	Hint int
 
 	depths []int
@@ -51,7 +56,8 @@
 	return r.depths
 }
 
-// AnchorHashes returns the hashes of the prompt's anchors.
+// AnchorHashes returns the hashes of the prompt's anchors, in ascending order
+// of depth.
 func (r *Request) AnchorHashes() []uint64 {
 	out := make([]uint64, 0, len(r.anchors()))
 	for _, d := range r.anchors() {
@@ -62,28 +68,30 @@
 
 func (r *Request) unread(held int) int { return max(0, r.Tokens-held*r.BlockTokens) }
 
-// Router picks endpoints by a policy. It is safe for concurrent use.
+// Router selects endpoints by a policy. It is safe for concurrent use.
 type Router[P Policy] struct {
 	policy P
 	clock  clock.Clock
 
-	mu     sync.Mutex
-	byName map[string]*Endpoint
-	groups map[Target][]*Endpoint
-	index  *index
-	// believed and cached are the prompt tokens that endpoints were thought
-	// to hold and those they said they did; the gap shows how far the index
-	// lags behind evictions.
-	believed, cached int64
+	mu         sync.Mutex
+	byName     map[string]*Endpoint
+	groups     map[Target][]*Endpoint
+	cacheIndex *cacheIndex
+	// expectedCached and reportedCached count the prompt tokens that
+	// endpoints were expected to hold in their cache and those they reported
+	// as cached. The difference shows how far the index lags behind
+	// evictions.
+	expectedCached, reportedCached int64
 }
 
 // NewRouter returns a router without endpoints.
 func NewRouter[P Policy](policy P, clk clock.Clock) *Router[P] {
-	return &Router[P]{policy: policy, clock: clk, byName: map[string]*Endpoint{}, groups: map[Target][]*Endpoint{}, index: newIndex(indexSize)}
+	return &Router[P]{policy: policy, clock: clk, byName: map[string]*Endpoint{}, groups: map[Target][]*Endpoint{}, cacheIndex: newCacheIndex(maxAnchors)}
 }
 
-// Update takes in a configuration. What is known of endpoints that stay
-// is kept; endpoints that left or drain get no new calls from now on.
+// Update replaces the list of endpoints. The state of endpoints that remain
+// at the same sidecar address is kept; removed and draining endpoints are not
+// selected for further calls.
 func (r *Router[P]) Update(specs []config.Endpoint) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -92,8 +100,8 @@
 	for _, spec := range specs {
 		ep := r.byName[spec.Name]
 		if ep == nil || ep.spec.Sidecar != spec.Sidecar {
-			// Another instance under an old name holds nothing of what the
-			// old one did.
+			// A different sidecar address under the same name is a new
+			// endpoint with an empty cache.
 			ep = newEndpoint(spec)
 		}
 		ep.spec = spec
@@ -101,19 +109,19 @@
 		if spec.Draining {
 			continue
 		}
-		for _, t := range targetsOf(&spec) {
+		for _, t := range endpointTargets(&spec) {
 			groups[t] = append(groups[t], ep)
 		}
 	}
 	for name, ep := range r.byName {
 		if byName[name] != ep {
-			r.index.forget(ep)
+			r.cacheIndex.forget(ep)
 		}
 	}
 	r.byName, r.groups = byName, groups
 }
 
-func targetsOf(spec *config.Endpoint) []Target {
+func endpointTargets(spec *config.Endpoint) []Target {
 	if spec.Role != "tool" {
 		return []Target{{Model: spec.Model}}
 	}
@@ -124,41 +132,43 @@
 	return out
 }
 
-// Choice is a picked endpoint; every Choice must be ended with Done.
+// Choice is the result of a Pick. The caller must end every Choice with Done,
+// which removes the call from the endpoint's load.
 type Choice struct {
-	// spec and seen are the endpoint's as of the choice: the endpoint itself
-	// is the router's, and may change under its lock.
-	spec     config.Endpoint
-	seen     uint64
-	endpoint *Endpoint
-	req      *Request
-	unread   int
-	held     int
-	started  time.Time
-	first    bool
+	// spec and reportAtPick are copies made at the time of the choice: the
+	// endpoint itself may change under the router's lock.
+	spec         config.Endpoint
+	reportAtPick uint64
+	endpoint     *Endpoint
+	req          *Request
+	unread       int
+	held         int
+	started      time.Time
+	prefilled    bool
 }
 
-// Endpoint returns the endpoint's configuration.
+// Endpoint returns the configuration of the chosen endpoint.
 func (c *Choice) Endpoint() config.Endpoint { return c.spec }
 
-// Seen returns the number of the endpoint's last report seen when it was
-// chosen.
-func (c *Choice) Seen() uint64 { return c.seen }
+// Seen returns the sequence number of the latest report received from the
+// endpoint at the time of the choice.
+func (c *Choice) Seen() uint64 { return c.reportAtPick }
 
-// Pick picks an endpoint for req and counts the call to it, skipping those
-// for which skip returns true (such as endpoints that just refused). It
-// returns false if none is left.
+// Pick selects an endpoint for req and counts the call as in flight there. It
+// leaves out endpoints for which skip returns true, such as those that just
+// refused the call; a nil skip leaves out none. It returns false if no
+// endpoint remains.
 func (r *Router[P]) Pick(req *Request, skip func(name string) bool) (*Choice, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	held := r.index.depths(req)
+	held := r.cacheIndex.depths(req)
 	candidates := r.candidates(req, held, skip)
 	if len(candidates) == 0 {
 		return nil, false
 	}
 	now := r.clock.Now()
 	ep := r.policy.Choose(req, candidates, held, now)
-	c := &Choice{spec: ep.spec, seen: ep.report, endpoint: ep, req: req, started: now, held: held[ep]}
+	c := &Choice{spec: ep.spec, reportAtPick: ep.lastReport, endpoint: ep, req: req, started: now, held: held[ep]}
 	if len(req.Prompt) > 0 {
 		c.unread = req.unread(held[ep])
 	}
@@ -171,7 +181,7 @@
 	group := r.groups[req.Target]
 	usable := func(ep *Endpoint) bool { return skip == nil || !skip(ep.Name()) }
 	var out []*Endpoint
-	if len(group) <= sampleAbove {
+	if len(group) <= maxUnsampledGroup {
 		for _, ep := range group {
 			if usable(ep) {
 				out = append(out, ep)
@@ -180,16 +190,17 @@
 		return out
 	}
 	for ep := range held {
-		if slices.Contains(targetsOf(&ep.spec), req.Target) && !ep.spec.Draining && usable(ep) {
+		if slices.Contains(endpointTargets(&ep.spec), req.Target) && !ep.spec.Draining && usable(ep) {
 			out = append(out, ep)
 		}
 	}
-	// The same programs meet the same few endpoints at every entry
-	// instance, so a prefix nobody has reported yet still lands together.
-	start := int(weight(req.Key, req.Target.Model) % uint64(len(group)))
-	for i := range samples {
+	// The offset depends only on the key and the model, so that every entry
+	// instance selects the same few endpoints for a program, and a prefix not
+	// yet recorded in the index is still cached in few places.
+	start := int(rendezvousWeight(req.Key, req.Target.Model) % uint64(len(group)))
+	for i := range sampleSize {
 		at := (start + i) % len(group)
-		if i >= samples/2 {
+		if i >= sampleSize/2 {
 			at = rand.IntN(len(group))
 		}
 		if ep := group[at]; usable(ep) && !slices.Contains(out, ep) {
@@ -207,62 +218,68 @@
 	return nil
 }
 
-// First notes that the call's first token arrived: its prompt is read.
+// First records that the call's first output token arrived, which ends the
+// prefill of its prompt.
 func (r *Router[P]) First(c *Choice) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.read(c)
+	r.promptProcessed(c)
 }
 
-func (r *Router[P]) read(c *Choice) {
-	if !c.first {
-		c.first = true
+func (r *Router[P]) promptProcessed(c *Choice) {
+	if !c.prefilled {
+		c.prefilled = true
 		c.endpoint.unread -= c.unread
 	}
 }
 
-// Outcome is how a call went.
+// Outcome describes how a call ended.
 type Outcome struct {
-	// Ran: the endpoint answered the call whole.
+	// Ran reports whether the endpoint returned a complete response.
 	Ran bool
-	// Cached is how many prompt tokens the endpoint says it held.
+	// Cached is the number of prompt tokens that the endpoint reported as
+	// cached.
 	Cached int
-	// Report is what the sidecar said at the end; nil: nothing.
+	// Report is the sidecar's report at the end of the call, or nil if none
+	// arrived.
 	Report *Report
 }
 
-// Done ends a choice and learns from how the call went.
+// Done ends the call of c and updates the endpoint's load, service time and
+// recorded cache contents from its outcome. It must be called once for each
+// Choice.
 func (r *Router[P]) Done(c *Choice, out Outcome) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	ep := c.endpoint
 	now := r.clock.Now()
-	r.read(c)
+	r.promptProcessed(c)
 	ep.inFlight--
 	if out.Report != nil {
 		ep.observe(out.Report, now)
 		if out.Report.Reset {
-			r.index.forget(ep)
+			r.cacheIndex.forget(ep)
 		}
 		for _, h := range out.Report.Removed {
-			r.index.remove(ep, h)
+			r.cacheIndex.remove(ep, h)
 		}
 	}
 	if r.byName[ep.Name()] != ep {
-		return // it left while the call ran
+		return // the endpoint was removed or replaced during the call
 	}
 	if out.Ran {
-		ep.served(now.Sub(c.started))
+		ep.recordServiceTime(now.Sub(c.started))
 		if len(c.req.Prompt) > 0 {
-			// It has read the whole prompt now, whatever it held before.
-			r.index.add(ep, c.req)
-			r.believed += int64(c.held * c.req.BlockTokens)
-			r.cached += int64(out.Cached)
+			// The endpoint has now prefilled and cached the full prompt,
+			// whatever it held before.
+			r.cacheIndex.add(ep, c.req)
+			r.expectedCached += int64(c.held * c.req.BlockTokens)
+			r.reportedCached += int64(out.Cached)
 		}
 	}
 }
 
-// EndpointView is one endpoint in the state dump.
+// EndpointView holds the state of one endpoint in the state dump.
 type EndpointView struct {
 	Name     string        `json:"name"`
 	InFlight int           `json:"in_flight"`
@@ -272,23 +289,24 @@
 	Report   uint64        `json:"report"`
 }
 
-// View is a router's part of the state dump.
+// View holds the router's section of the state dump.
 type View struct {
 	Endpoints []EndpointView `json:"endpoints"`
 	Anchors   int            `json:"anchors"`
-	// Believed and Cached are the prompt tokens that endpoints were thought
-	// to hold, and those they said they did.
+	// Believed and Cached count the prompt tokens that endpoints were
+	// expected to hold in their cache and those they reported as cached.
 	Believed int64 `json:"believed_tokens"`
 	Cached   int64 `json:"cached_tokens"`
 }
 
-// View returns what the router knows, endpoints by name.
+// View returns a snapshot of the router's state, with endpoints sorted by
+// name.
 func (r *Router[P]) View() View {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	out := make([]EndpointView, 0, len(r.byName))
 	for name, ep := range r.byName {
-		out = append(out, EndpointView{Name: name, InFlight: ep.inFlight, Others: ep.others, Limit: ep.limit, Service: ep.service, Report: ep.report})
+		out = append(out, EndpointView{Name: name, InFlight: ep.inFlight, Others: ep.otherCalls, Limit: ep.limit, Service: ep.serviceTime, Report: ep.lastReport})
 	}
 	slices.SortFunc(out, func(a, b EndpointView) int {
 		if a.Name < b.Name {
@@ -296,5 +314,5 @@
 		}
 		return 1
 	})
-	return View{Endpoints: out, Anchors: r.index.anchors.Len(), Believed: r.believed, Cached: r.cached}
+	return View{Endpoints: out, Anchors: r.cacheIndex.anchors.Len(), Believed: r.expectedCached, Cached: r.reportedCached}
 }
--- a/routing/router_bench_test.go
+++ b/routing/router_bench_test.go
@@ -20,8 +20,9 @@
 	return eps
 }
 
-// prompts returns n prompts of the given blocks: the first fourth of each
-// is shared by all, the rest its own.
+// prompts returns n requests with prompts of the given number of blocks. The
+// first quarter of the blocks is shared by all prompts, the remainder is
+// distinct.
 func prompts(n, blocks int) []*Request {
 	rng := rand.New(rand.NewPCG(1, 2))
 	shared := make([]uint64, blocks/4)
@@ -39,9 +40,9 @@
 	return out
 }
 
-// BenchmarkRoute measures one whole decision (pick, first token, done) of
-// each policy as the endpoints known grow; the slope feeds
-// docs/CAPACITY.md. Six models, as in the target; prompts of 800 blocks.
+// BenchmarkRoute measures a complete decision (Pick, First, Done) of each
+// policy as the number of endpoints grows; docs/CAPACITY.md uses the slope.
+// It has six models, as in the capacity target, and prompts of 800 blocks.
 func BenchmarkRoute(b *testing.B) {
 	for _, name := range PolicyNames {
 		for _, n := range []int{12, 100, 1000, 10000} {
@@ -70,7 +71,7 @@
 	}
 }
 
-// BenchmarkUpdate measures taking in a changed configuration.
+// BenchmarkUpdate measures Update with a changed configuration.
 func BenchmarkUpdate(b *testing.B) {
 	for _, n := range []int{100, 1000, 10000} {
 		b.Run(fmt.Sprintf("endpoints=%d", n), func(b *testing.B) {
@@ -85,13 +86,14 @@
 	}
 }
 
-// BenchmarkIndex measures the memory that the index takes per anchor.
+// BenchmarkIndex measures the time and memory of the cache index for each
+// anchor.
 func BenchmarkIndex(b *testing.B) {
 	for _, n := range []int{1000, 10000, 100000} {
 		b.Run(fmt.Sprintf("prompts=%d", n), func(b *testing.B) {
 			b.ReportAllocs()
 			for b.Loop() {
-				x := newIndex(n)
+				x := newCacheIndex(n)
 				ep := newEndpoint(config.Endpoint{Name: "e"})
 				start := time.Now()
 				for i := range n {
@@ -103,9 +105,10 @@
 	}
 }
 
-// BenchmarkRoutePrograms measures a decision of the affinity policy at
-// 10,000 endpoints as the programs under way grow to the target's 3 M, each
-// call being of any of them. Prompts are of 64 blocks, 16 of them shared.
+// BenchmarkRoutePrograms measures a decision of the affinity policy at 10,000
+// endpoints as the number of running programs grows to the capacity target of
+// 3 million, with each call from a random program. Prompts have 64 blocks, 16
+// of them shared.
 func BenchmarkRoutePrograms(b *testing.B) {
 	for _, n := range []uint64{1000, 30_000, 3_000_000} {
 		b.Run(fmt.Sprintf("programs=%d", n), func(b *testing.B) {
--- a/routing/router_test.go
+++ b/routing/router_test.go
@@ -21,8 +21,9 @@
 	return out
 }
 
-// prompt returns a request of blocks blocks of 16 tokens: the first shared
-// of them those of every prompt, the rest the program's own.
+// prompt returns a request whose prompt has the given number of blocks of 16
+// tokens. The first shared blocks are common to all prompts, the remainder is
+// specific to the program.
 func prompt(program, blocks, shared int) *routing.Request {
 	p := make([]uint64, blocks)
 	for i := range p {
@@ -49,15 +50,12 @@
 
 var idle = routing.Outcome{Ran: true, Report: &routing.Report{Limit: 12}}
 
-// TestProgramStaysWithItsCache: turns of a program go where its history is
-// cached, and elsewhere once that endpoint says it evicted it.
-//
-// Symptom: an engine reads a long dispute again at every turn.
-// Sequence: a program's prompt grows turn by turn; then the endpoint
-// reports its blocks removed, and another program's prefix is asked for.
-// Cause: routing without a memory of prompts, or one that evictions do not
-// correct.
-func TestProgramStaysWithItsCache(t *testing.T) {
+// TestTurnsRoutedToCachedHistory guards against an engine that prefills a
+// program's full history on every turn. The prompt of a program grows turn by
+// turn; then the endpoint reports its blocks as evicted, and another program
+// requests the shared prefix. The fault is a router that does not record
+// prompts, or does not correct its record on evictions.
+func TestTurnsRoutedToCachedHistory(t *testing.T) {
 	r, _ := newRouter(12)
 	first := pick(t, r, prompt(1, 100, 50))
 	home := first.Endpoint().Name
@@ -68,24 +66,21 @@
 		r.Done(c, idle)
 	}
 	other := pick(t, r, prompt(2, 100, 50))
-	require.Equal(t, home, other.Endpoint().Name, "a new program goes where the shared prefix is")
+	require.Equal(t, home, other.Endpoint().Name, "a new program is routed to the endpoint with the shared prefix")
 	r.Done(other, routing.Outcome{Ran: true, Report: &routing.Report{Limit: 12, Reset: true}})
-	// The reset came after the last call's prompt was read... it names what
-	// was held before; what that call itself read is held.
+	// The reset covers what the endpoint held before the last call; the
+	// prompt of that call was recorded after it.
 	c := pick(t, r, prompt(2, 120, 50))
 	require.Equal(t, home, c.Endpoint().Name)
 	r.Done(c, routing.Outcome{Report: &routing.Report{Limit: 12, Reset: true}})
-	require.Zero(t, r.View().Anchors, "a reset forgets everything held")
+	require.Zero(t, r.View().Anchors, "a reset removes all anchors of the endpoint")
 }
 
-// TestHotPrefixSpreads: a prefix that everyone asks for at once does not
-// melt the one engine that holds it.
-//
-// Symptom: one engine's queue grows to the deadline while eleven idle.
-// Sequence: an engine holds a prefix; 200 calls with it arrive at once, none
-// yet answered.
-// Cause: affinity without regard to load.
-func TestHotPrefixSpreads(t *testing.T) {
+// TestHotPrefixSpreadsOverEngines guards against a queue that grows to the
+// deadline at the one engine that holds a prefix while eleven others are
+// idle. One engine holds the prefix, and 200 calls with it arrive at once,
+// before any response. The fault is affinity without regard to load.
+func TestHotPrefixSpreadsOverEngines(t *testing.T) {
 	r, _ := newRouter(12)
 	warm := pick(t, r, prompt(0, 200, 200))
 	r.Done(warm, idle)
@@ -93,23 +88,21 @@
 	for program := range 200 {
 		got[pick(t, r, prompt(program, 210, 200)).Endpoint().Name]++
 	}
-	require.Greater(t, got[warm.Endpoint().Name], 12, "the holder is used to its limit first: %v", got)
+	require.Greater(t, got[warm.Endpoint().Name], 12, "the holder of the prefix is used up to its limit: %v", got)
 	most := 0
 	for _, n := range got {
 		most = max(most, n)
 	}
-	require.LessOrEqual(t, most, 2*200/12+12, "no engine gets much more than its share: %v", got)
+	require.LessOrEqual(t, most, 2*200/12+12, "no engine receives much more than an equal share: %v", got)
 	require.Len(t, got, 12, "all engines share the burst")
 }
 
-// TestLoadOfOthersCounts: calls that other entry instances sent are seen
-// through the sidecars' reports, and forgotten when reports stop.
-//
-// Symptom: three entry instances pile their bursts on the same engine.
-// Sequence: the sidecar of the engine that holds the prefix reports 60
-// calls of others; then nothing for a while.
-// Cause: counting only one's own calls.
-func TestLoadOfOthersCounts(t *testing.T) {
+// TestReportedLoadOfOtherInstancesCounts guards against three entry instances
+// that send their bursts to the same engine. The sidecar of the engine that
+// holds the prefix reports 60 calls of other instances, then no report
+// follows for a while: the load must count and then decay. The fault is a
+// load that counts only local calls.
+func TestReportedLoadOfOtherInstancesCounts(t *testing.T) {
 	r, clk := newRouter(3)
 	c := pick(t, r, prompt(0, 100, 100))
 	home := c.Endpoint().Name
@@ -119,15 +112,12 @@
 	require.Equal(t, home, pick(t, r, prompt(2, 110, 100)).Endpoint().Name)
 }
 
-// TestReusedNameHoldsNothing: a new instance under an old name starts with
-// an empty cache, and a drained endpoint gets nothing.
-//
-// Symptom: programs are sent to a cold engine for a cache its predecessor
-// had.
-// Sequence: the endpoint that holds a prefix is replaced at another
-// address; then it is drained.
-// Cause: state kept by name alone.
-func TestReusedNameHoldsNothing(t *testing.T) {
+// TestReusedNameStartsWithEmptyCache guards against calls sent to an engine
+// with an empty cache for blocks that its predecessor of the same name held,
+// and against calls to a draining endpoint. The endpoint that holds a prefix
+// is replaced at another address, then drained. The fault is state kept by
+// name alone.
+func TestReusedNameStartsWithEmptyCache(t *testing.T) {
 	r, _ := newRouter(2)
 	c := pick(t, r, prompt(0, 100, 100))
 	home := c.Endpoint().Name
@@ -149,8 +139,8 @@
 	}
 }
 
-// TestLargeFleetFindsHolder: with more endpoints than are weighed for a
-// call, the holder of its prefix is still among them.
+// TestLargeFleetFindsHolder guards against a holder of the prompt's prefix
+// that is not among the sampled candidates of a large group.
 func TestLargeFleetFindsHolder(t *testing.T) {
 	r, _ := newRouter(1000)
 	c := pick(t, r, prompt(7, 300, 100))
@@ -158,24 +148,22 @@
 	r.Done(c, idle)
 	require.Equal(t, home, pick(t, r, prompt(7, 320, 100)).Endpoint().Name)
 	_, ok := r.Pick(prompt(7, 320, 100), func(string) bool { return true })
-	require.False(t, ok, "no endpoint is left if all are skipped")
+	require.False(t, ok, "Pick returns false if all endpoints are skipped")
 }
 
-// TestAnchorsCoverPrefixes lists the depths kept of a prompt.
-func TestAnchorsCoverPrefixes(t *testing.T) {
+// TestAnchorDepths checks the anchor depths of prompts of several lengths,
+// with and without hints.
+func TestAnchorDepths(t *testing.T) {
 	require.Empty(t, routing.Anchors(0))
 	require.Equal(t, []int{1}, routing.Anchors(1))
 	require.Equal(t, []int{1, 2, 4, 8, 11}, routing.Anchors(11))
 	require.Equal(t, []int{1, 2, 4, 7, 8, 11}, routing.Anchors(11, 7, 40))
 }
 
-// TestRouterIsSafeForConcurrentUse drives a router from several goroutines
-// while its configuration changes; the race detector is the judge.
-//
-// Symptom: a call is sent to the address of another endpoint.
-// Sequence: calls are picked and end while the list of endpoints, some at
-// new addresses, is replaced.
-// Cause: a choice that reads its endpoint after the router's lock is gone.
+// TestRouterIsSafeForConcurrentUse guards against a call sent to the address
+// of another endpoint. Calls are picked and end while the list of endpoints,
+// some at new addresses, is replaced. The fault is a Choice that reads its
+// endpoint without the router's lock, which the race detector reports.
 func TestRouterIsSafeForConcurrentUse(t *testing.T) {
 	r, _ := newRouter(8)
 	var wg sync.WaitGroup
@@ -207,15 +195,12 @@
 	}
 }
 
-// TestRestartedSidecarIsBelievedAgain: a sidecar that restarted resets what
-// is known of its engine once, not at every call.
-//
-// Symptom: after a sidecar's restart its engine reads every prompt anew for
-// good.
-// Sequence: reports up to number 9 are seen; the sidecar restarts, and its
-// next report is number 0 with a reset.
-// Cause: telling the new sidecar, for ever, a number that it never gave.
-func TestRestartedSidecarIsBelievedAgain(t *testing.T) {
+// TestSidecarRestartResetsReportSequence guards against an engine that
+// prefills every prompt in full after a restart of its sidecar. Reports up to
+// number 9 have been received; the sidecar restarts, and its next report has
+// number 0 and a reset. The fault is a router that goes on sending the old
+// number, which makes the new sidecar reset the index on every call.
+func TestSidecarRestartResetsReportSequence(t *testing.T) {
 	r, _ := newRouter(1)
 	r.Done(pick(t, r, prompt(0, 100, 100)), routing.Outcome{Ran: true, Report: &routing.Report{Limit: 12, Sequence: 9}})
 	c := pick(t, r, prompt(0, 100, 100))
