--- a/program/errors.go
+++ b/program/errors.go
@@ -2,13 +2,13 @@
 
 import "fmt"
 
-// Reason says why the core refused an operation on a program.
+// Reason is the cause for which an operation on a program was refused.
 type Reason int
 
 //go:generate stringer -type=Reason -trimprefix=Reason
 
-// Reasons for refusing an operation. Each maps to one caller-visible error
-// type in the caller package.
+// Reasons for which an operation is refused. The entry package maps each of
+// them to one error type of the caller package.
 const (
 	ReasonNotFound Reason = iota
 	ReasonExists
@@ -19,8 +19,9 @@
 	ReasonPastDeadline
 )
 
-// Error is the failure of an operation on one program. Every refusal by the
-// core is an *Error; none of them changed the program.
+// Error is returned for a refused operation on one program. Every refusal by
+// this package, other than a *LogError, is an *Error, and leaves the program
+// unchanged.
 type Error struct {
 	reason  Reason
 	program ID
@@ -31,14 +32,14 @@
 	return &Error{reason: reason, program: id, detail: fmt.Sprintf(format, args...)}
 }
 
-// Ended returns the failure of an operation on a program that has ended and
-// is no longer kept.
+// Ended returns an *Error of ReasonEnded for a program that has ended and is
+// no longer held in memory.
 func Ended(id ID) error { return newError(ReasonEnded, id, "program has ended") }
 
-// Reason returns why the operation was refused.
+// Reason returns the cause of the refusal.
 func (e *Error) Reason() Reason { return e.reason }
 
-// Program returns the program the operation was for.
+// Program returns the ID of the program that the operation was for.
 func (e *Error) Program() ID { return e.program }
 
 // Error returns "program ID: reason: detail".
--- a/program/log.go
+++ b/program/log.go
@@ -7,103 +7,108 @@
 	"time"
 )
 
-// wholeEvery is how often a checkpoint record holds the whole history
-// instead of the turns since the record before it. It bounds what a new
-// owner reads (at most wholeEvery records) without writing a history of
-// 250,000 tokens again on each of 180 turns.
-const wholeEvery = 16
+// fullRecordInterval is the number of records from one full record, which
+// holds the complete history, to the next; those in between hold only the
+// messages since their predecessor. It bounds the records that a new owner
+// reads to fullRecordInterval, without a history of 250,000 tokens being
+// written again on each of 180 turns.
+const fullRecordInterval = 16
 
-// Checkpoint is one record of a program's durable log. Records are known by
-// (program, epoch, Index) and never changed, so a write that is delayed and
-// lands late cannot put an older state over a newer one.
+// Checkpoint is one record of a program's durable log. A record is identified
+// by program, epoch and Index and is never changed, so a delayed write cannot
+// replace a newer state by an older one.
 type Checkpoint struct {
-	// Index is the record's place in the log, from 0.
+	// Index is the position of the record in the log, from 0.
 	Index uint64 `json:"index"`
-	// Base is the index of the latest whole record, this one included.
+	// Base is the index of the latest full record up to and including this
+	// one.
 	Base    uint64    `json:"base"`
 	Spec    Spec      `json:"spec"`
 	Created time.Time `json:"created"`
 	State   State     `json:"state"`
 	NextSeq uint64    `json:"next_sequence"`
 	Spent   int64     `json:"spent_tokens"`
-	// Messages is the whole history in a whole record, otherwise the
-	// messages since the record before.
+	// Messages holds the complete history in a full record, and otherwise the
+	// messages since the previous record.
 	Messages []Message `json:"messages,omitempty"`
-	// Answer is the answer of call NextSeq-1, so a new owner can give it
-	// again to a caller who never received it.
+	// Answer is the answer to call NextSeq-1. A new owner replays it to a
+	// caller that never received it.
 	Answer json.RawMessage `json:"answer,omitempty"`
 }
 
-// Whole reports whether the record stands on its own.
+// Whole reports whether the record is full, so that a replay can start with
+// it.
 func (c *Checkpoint) Whole() bool { return c.Base == c.Index }
 
-// Log decides what each checkpoint record of one program holds. A new Log
-// starts with a whole record.
+// Log determines the contents of each checkpoint record of one program. The
+// first record of a new Log is full. The zero value is an empty log.
 type Log struct {
-	next   uint64
-	base   uint64
-	logged int
+	nextIndex      uint64
+	fullIndex      uint64
+	loggedMessages int
 }
 
-// Started reports whether a record is durable.
-func (l *Log) Started() bool { return l.next > 0 }
+// Started reports whether at least one record is durable.
+func (l *Log) Started() bool { return l.nextIndex > 0 }
 
-// Record returns the record that brings the log up to p. The log moves on
-// only when Committed is called, after the record is durable.
+// Record returns the next record, which brings the log up to date with p. The
+// log advances only when Committed is called after the record has become
+// durable; until then Record returns the same index.
 func (l *Log) Record(p *Program, answer json.RawMessage) Checkpoint {
-	return l.record(p, answer, l.next == 0 || l.next-l.base >= wholeEvery)
+	return l.record(p, answer, l.nextIndex == 0 || l.nextIndex-l.fullIndex >= fullRecordInterval)
 }
 
-// RecordWhole is Record with a whole record, which makes all before it
-// superfluous.
+// RecordWhole returns the next record as a full one, which makes all records
+// before it redundant.
 func (l *Log) RecordWhole(p *Program, answer json.RawMessage) Checkpoint {
 	return l.record(p, answer, true)
 }
 
-func (l *Log) record(p *Program, answer json.RawMessage, whole bool) Checkpoint {
-	c := Checkpoint{Index: l.next, Base: l.base, Spec: p.spec, Created: p.created, State: p.state,
+func (l *Log) record(p *Program, answer json.RawMessage, full bool) Checkpoint {
+	c := Checkpoint{Index: l.nextIndex, Base: l.fullIndex, Spec: p.spec, Created: p.created, State: p.state,
 		NextSeq: p.nextSeq, Spent: p.spent, Answer: answer}
 	if p.state == StateEnded {
-		// Nothing reads an ended program's history again.
-		c.Base = l.next
+		// The history of an ended program is not read again, so its last
+		// record is full without messages.
+		c.Base = l.nextIndex
 		return c
 	}
-	if whole {
-		c.Base = l.next
+	if full {
+		c.Base = l.nextIndex
 		c.Messages = slices.Clone(p.history)
 		return c
 	}
-	c.Messages = slices.Clone(p.history[l.logged:])
+	c.Messages = slices.Clone(p.history[l.loggedMessages:])
 	return c
 }
 
-// Committed moves the log past record c, now durable.
+// Committed advances the log past record c, which has become durable.
 func (l *Log) Committed(c *Checkpoint) {
 	if c.Whole() {
-		l.logged = len(c.Messages)
+		l.loggedMessages = len(c.Messages)
 	} else {
-		l.logged += len(c.Messages)
+		l.loggedMessages += len(c.Messages)
 	}
-	l.base = c.Base
-	l.next = c.Index + 1
+	l.fullIndex = c.Base
+	l.nextIndex = c.Index + 1
 }
 
-// LogError says a program's log cannot be replayed.
+// LogError is returned for a program's log that cannot be replayed.
 type LogError struct {
 	program ID
 	detail  string
 }
 
-// Error names the program and the fault.
+// Error returns "program ID: log: fault".
 func (e *LogError) Error() string { return fmt.Sprintf("program %s: log: %s", e.program, e.detail) }
 
 // Replay returns the program that the records of one epoch describe, owned
-// under fence, and the answer of its last call. The records run from the
-// last whole one to the newest, in order; a missing or foreign record is a
-// *LogError, never a shorter history.
+// under fence, and the answer of its last call. The records must run in order
+// from the last full one to the newest. A missing record, or one of another
+// program, results in a *LogError, never in a shorter history.
 func Replay(id ID, records []Checkpoint, fence uint64) (*Program, json.RawMessage, error) {
 	if len(records) == 0 {
-		return nil, nil, &LogError{program: id, detail: "no records"}
+		return nil, nil, &LogError{program: id, detail: "the log holds no records"}
 	}
 	var history []Message
 	for i := range records {
@@ -112,9 +117,9 @@
 		case c.Spec.ID != id:
 			return nil, nil, &LogError{program: id, detail: fmt.Sprintf("record %d belongs to %q", c.Index, c.Spec.ID)}
 		case i == 0 && !c.Whole():
-			return nil, nil, &LogError{program: id, detail: fmt.Sprintf("record %d is not whole", c.Index)}
+			return nil, nil, &LogError{program: id, detail: fmt.Sprintf("first record %d is not a full record", c.Index)}
 		case i > 0 && (c.Index != records[i-1].Index+1 || c.Whole()):
-			return nil, nil, &LogError{program: id, detail: fmt.Sprintf("record %d follows %d", c.Index, records[i-1].Index)}
+			return nil, nil, &LogError{program: id, detail: fmt.Sprintf("record %d follows record %d; a record is missing or repeated", c.Index, records[i-1].Index)}
 		}
 		history = append(history, c.Messages...)
 	}
--- a/program/log_test.go
+++ b/program/log_test.go
@@ -11,14 +11,12 @@
 	"github.com/wagtaildrum/wagtaildrum/program"
 )
 
-// TestLogReplaysExactHistory replays a log after each of 40 turns and
-// compares the history with the owner's, so every distance from a whole
-// record is covered; then it takes one record out and wants an error.
-//
-// Symptom it guards against: a new owner goes on with a shorter history.
-// Sequence: the object store has lost, or not yet listed, one record.
-// Cause: replaying what is there without checking that it is all there.
-func TestLogReplaysExactHistory(t *testing.T) {
+// TestReplayRestoresHistoryAndRejectsGaps guards against a new owner that
+// continues with a shortened history because the object store has lost, or
+// not yet listed, one record. The log is replayed after each of 40 turns,
+// which covers every distance from a full record, and compared with the
+// owner's history; a replay without one of the records must return an error.
+func TestReplayRestoresHistoryAndRejectsGaps(t *testing.T) {
 	p, err := program.New(program.Spec{ID: "jur-log", BudgetTokens: 1 << 40}, time.Unix(0, 0), 1)
 	require.NoError(t, err)
 	var log program.Log
@@ -53,7 +51,7 @@
 			require.ErrorAs(t, err, &lerr)
 		}
 		_, _, err = program.Replay("another", records, 2)
-		require.Error(t, err, "a record of another program is never replayed")
+		require.Error(t, err, "a record of another program is rejected")
 	}
-	require.LessOrEqual(t, len(store), 16, "records before the last whole one are dropped")
+	require.LessOrEqual(t, len(store), 16, "records before the last full record are dropped")
 }
--- a/program/program_bench_test.go
+++ b/program/program_bench_test.go
@@ -9,10 +9,10 @@
 	"time"
 )
 
-// BenchmarkProgramMemory measures the bytes an owner holds per program,
-// with no history and with a history of 10 turns of 40 words each, at
-// three table sizes so the slope (bytes/program) is visible. It reports
-// the custom metric bytes/program; ns/op is the time to build the table.
+// BenchmarkProgramMemory measures the memory that an owner needs for each
+// program, without history and with a history of 10 turns of 40 words each,
+// at three numbers of programs, so that the slope is visible. It reports the
+// metric bytes/program; ns/op is the time to create all programs.
 func BenchmarkProgramMemory(b *testing.B) {
 	turn := Message{Role: "user", Content: strings.Repeat("voyage ", 40)}
 	for _, turns := range []int{0, 10} {
@@ -42,8 +42,8 @@
 		}
 		for t := range turns {
 			_ = p.Begin(uint64(t+1), 0, now)
-			// Each turn's text is its own allocation, as it is when it
-			// arrives from a caller.
+			// The text of each turn is allocated separately, as for a turn
+			// received from a caller.
 			p.Finish(uint64(t+1), 0, Message{Role: turn.Role, Content: strings.Clone(turn.Content)})
 		}
 		table[id] = p
--- a/program/urgency.go
+++ b/program/urgency.go
@@ -2,8 +2,9 @@
 
 import "fmt"
 
-// Urgency is a program's scheduling class. A more urgent class always goes
-// before a less urgent one (Sul's loan-chair alerts are Urgent).
+// Urgency is a program's scheduling class. Calls of a more urgent class are
+// always scheduled before those of a less urgent one; alerts, for example,
+// are urgent.
 type Urgency int
 
 //go:generate stringer -type=Urgency -trimprefix=Urgency -linecomment
@@ -15,8 +16,9 @@
 	UrgencyUrgent                    // urgent
 )
 
-// ParseUrgency returns the class named s ("background", "normal",
-// "urgent"); the empty string means UrgencyNormal.
+// ParseUrgency returns the class named s ("background", "normal" or
+// "urgent"). The empty string means UrgencyNormal. Any other name results in
+// an *UrgencyError.
 func ParseUrgency(s string) (Urgency, error) {
 	switch s {
 	case "", "normal":
@@ -29,10 +31,10 @@
 	return 0, &UrgencyError{name: s}
 }
 
-// UrgencyError reports an urgency class name that is not known.
+// UrgencyError is returned for an unknown name of an urgency class.
 type UrgencyError struct{ name string }
 
-// Error names the unknown class.
+// Error returns a message that quotes the unknown name.
 func (e *UrgencyError) Error() string {
 	return fmt.Sprintf("unknown urgency %q (want background, normal or urgent)", e.name)
 }
