--- a/fencing/doc.go
+++ b/fencing/doc.go
@@ -1,6 +1,6 @@
-// Package fencing keeps, per program, the highest lease fencing token and
-// call sequence a sidecar has seen, and refuses calls behind them. It is
-// what keeps a deposed owner (whose lease lapsed while it was paused) from
-// acting on an endpoint, including endpoints that ignore fencing numbers.
-// It does no input or output.
+// Package fencing records, for each program, the highest lease fencing token
+// and call sequence number that a sidecar has received, and refuses calls
+// with lower ones. This prevents a former owner, whose lease expired while it
+// was paused, from using an endpoint, including endpoints that ignore fencing
+// tokens. The package does no input or output.
 package fencing
--- a/fencing/table.go
+++ b/fencing/table.go
@@ -8,68 +8,70 @@
 	"github.com/wagtaildrum/wagtaildrum/clock"
 )
 
-// Error is a call refused as stale.
+// Error is returned for a stale call: one with a lower fencing token, or an
+// earlier sequence number, than a call admitted before.
 type Error struct {
-	program         string
-	fence, seen     uint64
-	sequence, after uint64
+	program                string
+	fence, seen            uint64
+	sequence, lastSequence uint64
 }
 
-// Error says which number was stale.
+// Error returns a message with the stale number and the highest one received.
 func (e *Error) Error() string {
 	if e.fence < e.seen {
-		return fmt.Sprintf("program %s: stale fence %d, seen %d", e.program, e.fence, e.seen)
+		return fmt.Sprintf("program %s: stale fencing token %d, the highest received is %d", e.program, e.fence, e.seen)
 	}
-	return fmt.Sprintf("program %s: call %d behind call %d", e.program, e.sequence, e.after)
+	return fmt.Sprintf("program %s: stale call %d, the last one received is %d", e.program, e.sequence, e.lastSequence)
 }
 
-type mark struct {
+type lastCall struct {
 	fence, sequence uint64
 	seen            time.Time
 }
 
-// Table holds the marks of each program. The zero value is not usable;
-// call NewTable.
+// Table holds the last admitted call of each program. It is safe for
+// concurrent use. A Table must be created with NewTable.
 type Table struct {
-	clock clock.Clock
-	mu    sync.Mutex
-	marks map[string]mark
+	clock     clock.Clock
+	mu        sync.Mutex
+	lastCalls map[string]lastCall
 }
 
-// NewTable returns an empty table.
-func NewTable(clk clock.Clock) *Table { return &Table{clock: clk, marks: map[string]mark{}} }
+// NewTable returns an empty table that reads the time from clk.
+func NewTable(clk clock.Clock) *Table { return &Table{clock: clk, lastCalls: map[string]lastCall{}} }
 
-// Admit records (fence, sequence) for program and returns an *Error if the
-// call is behind what was seen: a lower fence, or under the same fence an
-// earlier sequence. A repeat of the latest sequence is admitted: it is the
-// owner retrying a call whose answer it lost.
+// Admit records fence and sequence as the program's last call. It returns an
+// *Error and records nothing if the call is stale: its fence is lower than
+// the recorded one, or the fence is equal and the sequence number is lower. A
+// repeat of the last sequence number is admitted, since it is a retry by the
+// owner of a call whose response was lost.
 func (t *Table) Admit(program string, fence, sequence uint64) error {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	m := t.marks[program]
+	m := t.lastCalls[program]
 	if fence < m.fence || (fence == m.fence && sequence < m.sequence) {
-		return &Error{program: program, fence: fence, seen: m.fence, sequence: sequence, after: m.sequence}
+		return &Error{program: program, fence: fence, seen: m.fence, sequence: sequence, lastSequence: m.sequence}
 	}
-	t.marks[program] = mark{fence: fence, sequence: sequence, seen: t.clock.Now()}
+	t.lastCalls[program] = lastCall{fence: fence, sequence: sequence, seen: t.clock.Now()}
 	return nil
 }
 
-// Sweep drops the marks of programs without a call for longer than idle;
-// without it the table would grow with every program that ever called.
+// Sweep removes programs without a call for longer than idle. Without it the
+// table would grow with every program that ever made a call.
 func (t *Table) Sweep(idle time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	cutoff := t.clock.Now().Add(-idle)
-	for program, m := range t.marks {
+	for program, m := range t.lastCalls {
 		if m.seen.Before(cutoff) {
-			delete(t.marks, program)
+			delete(t.lastCalls, program)
 		}
 	}
 }
 
-// Len returns the number of programs with marks.
+// Len returns the number of programs in the table.
 func (t *Table) Len() int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return len(t.marks)
+	return len(t.lastCalls)
 }
--- a/fencing/table_test.go
+++ b/fencing/table_test.go
@@ -12,14 +12,10 @@
 	"github.com/wagtaildrum/wagtaildrum/fencing"
 )
 
-// TestMarksAreSwept: marks of programs without calls are forgotten, those
-// in use are not.
-//
-// Symptom: a sidecar's memory grows with every program it ever served.
-// Sequence: two programs call; one goes on calling, the other stops; the
-// table is swept.
-// Cause: marks that are never dropped.
-func TestMarksAreSwept(t *testing.T) {
+// TestSweepDropsIdlePrograms guards against a sidecar whose memory grows with
+// every program it has served. Two programs make calls, and only one of them
+// continues; Sweep must remove the idle one and keep the other.
+func TestSweepDropsIdlePrograms(t *testing.T) {
 	clk := clock.NewFake(time.Unix(1_000_000_000, 0))
 	table := fencing.NewTable(clk)
 	require.NoError(t, table.Admit("ended", 5, 1))
@@ -28,16 +24,16 @@
 	require.NoError(t, table.Admit("running", 5, 2))
 	table.Sweep(time.Minute / 2)
 	require.Equal(t, 1, table.Len())
-	require.Error(t, table.Admit("running", 4, 3), "the mark in use still refuses a deposed owner")
+	require.Error(t, table.Admit("running", 4, 3), "the entry of the running program still refuses a former owner")
 }
 
 func ExampleTable() {
 	table := fencing.NewTable(clock.Real{})
 	fmt.Println(table.Admit("sul-van", 2, 7))
-	err := table.Admit("sul-van", 1, 8) // an owner deposed since
+	err := table.Admit("sul-van", 1, 8) // a former owner
 	var stale *fencing.Error
 	fmt.Println(errors.As(err, &stale), err)
 	// Output:
 	// <nil>
-	// true program sul-van: stale fence 1, seen 2
+	// true program sul-van: stale fencing token 1, the highest received is 2
 }
