--- a/routing/endpoint.go
+++ b/routing/endpoint.go
@@ -28,14 +28,19 @@
 	inFlight int
 	// unread is the number of prompt tokens of calls in flight that the
 	// endpoint is expected to prefill before their first output token.
-	unread       int
-	limit        int
+	unread int
+	limit  int
+	// otherCalls is the number of calls of other entry instances at the time
+	// otherCallsAt, serviceTime the mean time of a call, and lastReport the
+	// sequence number of the latest report received.
 	otherCalls   int
 	otherCallsAt time.Time
 	serviceTime  time.Duration
 	lastReport   uint64
 }
 
+// newEndpoint returns an endpoint without calls, with the default limit and
+// service time.
 func newEndpoint(spec config.Endpoint) *Endpoint {
 	return &Endpoint{spec: spec, limit: defaultLimit, serviceTime: defaultServiceTime}
 }
@@ -83,6 +88,8 @@
 	Reset   bool
 }
 
+// observe updates the limit, the load of other instances and the report
+// number from r, received at now. The caller handles the removed blocks.
 func (e *Endpoint) observe(r *Report, now time.Time) {
 	e.limit = max(r.Limit, 1)
 	// Running and Waiting include the calls of this instance; the remainder
@@ -97,6 +104,8 @@
 	e.lastReport = max(e.lastReport, r.Sequence)
 }
 
+// recordServiceTime adds the duration of a completed call to the mean service
+// time.
 func (e *Endpoint) recordServiceTime(elapsed time.Duration) {
 	e.serviceTime += time.Duration(serviceWeight * float64(elapsed-e.serviceTime))
 }
--- a/routing/index.go
+++ b/routing/index.go
@@ -24,6 +24,7 @@
 	anchors *simplelru.LRU[uint64, []*Endpoint]
 }
 
+// newCacheIndex returns an empty index that holds at most size anchors.
 func newCacheIndex(size int) *cacheIndex {
 	lru, err := simplelru.NewLRU[uint64, []*Endpoint](size, nil)
 	if err != nil {
--- a/routing/policy.go
+++ b/routing/policy.go
@@ -100,6 +100,8 @@
 	return best
 }
 
+// rendezvousWeight returns the weight of an endpoint for a key in rendezvous
+// hashing.
 func rendezvousWeight(key, endpoint string) uint64 {
 	d := xxhash.New()
 	_, _ = d.WriteString(key)
@@ -130,6 +132,8 @@
 	})
 }
 
+// cost returns the expected time to first token of a call sent to ep with the
+// given number of uncached prompt tokens.
 func (a *Affinity) cost(ep *Endpoint, unread int, now time.Time) time.Duration {
 	read := float64(unread+ep.unread) / a.TokensPerSecond * float64(time.Second)
 	return time.Duration(read) + ep.wait(now) + time.Duration(ep.Load(now)*float64(costPerCall))
--- a/routing/router.go
+++ b/routing/router.go
@@ -17,7 +17,9 @@
 	// derived from the request's key, and random samples. The cost of a
 	// decision then does not grow with the fleet.
 	maxUnsampledGroup = 64
-	sampleSize        = 8
+	// sampleSize is the number of endpoints sampled from a group larger than
+	// maxUnsampledGroup: half of them by the request's key, half at random.
+	sampleSize = 8
 	// maxAnchors bounds the anchors in the cache index, each of which takes
 	// about 130 bytes.
 	maxAnchors = 100_000
@@ -46,9 +48,12 @@
 	// there is none.
 	Hint int
 
+	// depths caches the result of anchors.
 	depths []int
 }
 
+// anchors returns the depths of the prompt's anchors, computed on the first
+// call.
 func (r *Request) anchors() []int {
 	if r.depths == nil && len(r.Prompt) > 0 {
 		r.depths = Anchors(len(r.Prompt), r.Hint)
@@ -66,6 +71,8 @@
 	return out
 }
 
+// unread returns the number of prompt tokens to prefill at an endpoint that
+// holds the given number of leading blocks.
 func (r *Request) unread(held int) int { return max(0, r.Tokens-held*r.BlockTokens) }
 
 // Router selects endpoints by a policy. It is safe for concurrent use.
@@ -121,6 +128,8 @@
 	r.byName, r.groups = byName, groups
 }
 
+// endpointTargets returns the targets that an endpoint serves: its model, or
+// each of its tools.
 func endpointTargets(spec *config.Endpoint) []Target {
 	if spec.Role != "tool" {
 		return []Target{{Model: spec.Model}}
@@ -177,6 +186,10 @@
 	return c, true
 }
 
+// candidates returns the endpoints to evaluate for req: all usable ones of a
+// small group, otherwise the holders of part of the prompt and a sample. If
+// none of these is usable, it returns any one usable endpoint of the group,
+// or nil.
 func (r *Router[P]) candidates(req *Request, held map[*Endpoint]int, skip func(string) bool) []*Endpoint {
 	group := r.groups[req.Target]
 	usable := func(ep *Endpoint) bool { return skip == nil || !skip(ep.Name()) }
@@ -226,6 +239,8 @@
 	r.promptProcessed(c)
 }
 
+// promptProcessed removes the call's prompt from the tokens that the endpoint
+// has yet to prefill, once per call.
 func (r *Router[P]) promptProcessed(c *Choice) {
 	if !c.prefilled {
 		c.prefilled = true
--- a/routing/router_bench_test.go
+++ b/routing/router_bench_test.go
@@ -11,6 +11,8 @@
 	"github.com/wagtaildrum/wagtaildrum/config"
 )
 
+// endpoints returns n engine endpoints spread over the given number of
+// models.
 func endpoints(n, models int) []config.Endpoint {
 	eps := make([]config.Endpoint, n)
 	for i := range eps {
--- a/routing/router_test.go
+++ b/routing/router_test.go
@@ -13,6 +13,7 @@
 	"github.com/wagtaildrum/wagtaildrum/routing"
 )
 
+// fleet returns n engine endpoints that serve the same model.
 func fleet(n int) []config.Endpoint {
 	out := make([]config.Endpoint, n)
 	for i := range out {
@@ -35,6 +36,7 @@
 	return &routing.Request{Target: routing.Target{Model: "fleetdesk"}, Key: fmt.Sprint("program-", program), Prompt: p, Tokens: blocks * 16, BlockTokens: 16}
 }
 
+// newRouter returns an affinity router with n endpoints and its clock.
 func newRouter(n int) (*routing.Router[*routing.Affinity], *clock.Fake) {
 	clk := clock.NewFake(time.Unix(1_000_000_000, 0))
 	r := routing.NewRouter(&routing.Affinity{TokensPerSecond: 100_000}, clk)
@@ -42,12 +44,14 @@
 	return r, clk
 }
 
+// pick returns the choice for req and requires that there is one.
 func pick(t *testing.T, r *routing.Router[*routing.Affinity], req *routing.Request) *routing.Choice {
 	c, ok := r.Pick(req, nil)
 	require.True(t, ok)
 	return c
 }
 
+// idle is the outcome of a completed call at an endpoint without other load.
 var idle = routing.Outcome{Ran: true, Report: &routing.Report{Limit: 12}}
 
 // TestTurnsRoutedToCachedHistory guards against an engine that prefills a
