--- a/fencing/table.go
+++ b/fencing/table.go
@@ -11,7 +11,10 @@
 // Error is returned for a stale call: one with a lower fencing token, or an
 // earlier sequence number, than a call admitted before.
 type Error struct {
-	program                string
+	program string
+	// fence and sequence are those of the refused call; seen and lastSequence
+	// are the highest fencing token received and the last sequence number
+	// under it.
 	fence, seen            uint64
 	sequence, lastSequence uint64
 }
@@ -24,6 +27,8 @@
 	return fmt.Sprintf("program %s: stale call %d, the last one received is %d", e.program, e.sequence, e.lastSequence)
 }
 
+// lastCall holds the fencing token and sequence number of a program's last
+// admitted call, and the time at which it was seen.
 type lastCall struct {
 	fence, sequence uint64
 	seen            time.Time
--- a/program/errors.go
+++ b/program/errors.go
@@ -28,6 +28,7 @@
 	detail  string
 }
 
+// newError returns an *Error whose detail is formatted from format and args.
 func newError(reason Reason, id ID, format string, args ...any) *Error {
 	return &Error{reason: reason, program: id, detail: fmt.Sprintf(format, args...)}
 }
--- a/program/log.go
+++ b/program/log.go
@@ -43,6 +43,9 @@
 // Log determines the contents of each checkpoint record of one program. The
 // first record of a new Log is full. The zero value is an empty log.
 type Log struct {
+	// nextIndex is the index of the next record, fullIndex that of the latest
+	// full one, and loggedMessages the number of messages of the history that
+	// are in durable records.
 	nextIndex      uint64
 	fullIndex      uint64
 	loggedMessages int
@@ -64,6 +67,7 @@
 	return l.record(p, answer, true)
 }
 
+// record returns the next record, as a full one if full is set.
 func (l *Log) record(p *Program, answer json.RawMessage, full bool) Checkpoint {
 	c := Checkpoint{Index: l.nextIndex, Base: l.fullIndex, Spec: p.spec, Created: p.created, State: p.state,
 		NextSeq: p.nextSeq, Spent: p.spent, Answer: answer}
--- a/program/program.go
+++ b/program/program.go
@@ -62,10 +62,13 @@
 // Program holds the state of one agent program at its owner. It is not safe
 // for concurrent use; the entry package guards each program by its own lock.
 type Program struct {
-	spec     Spec
-	created  time.Time
-	state    State
-	fence    uint64
+	spec    Spec
+	created time.Time
+	state   State
+	fence   uint64
+	// nextSeq is the sequence number of the next call, or of the call in
+	// flight if inFlight is set; spent counts the tokens charged and reserved
+	// those held for the call in flight.
 	nextSeq  uint64
 	inFlight bool
 	spent    int64
--- a/program/program_bench_test.go
+++ b/program/program_bench_test.go
@@ -28,6 +28,8 @@
 	}
 }
 
+// measure returns the heap bytes per program of n programs with the given
+// number of turns.
 func measure(n, turns int, turn Message) float64 {
 	var before, after runtime.MemStats
 	runtime.GC()
