--- a/entry/avoid.go
+++ b/entry/avoid.go
@@ -8,38 +8,45 @@
 	"github.com/wagtaildrum/wagtaildrum/clock"
 )
 
-// avoidFor is how long an endpoint that refused as draining or overloaded
-// is kept out of routing. The configuration and the lagging instance list
-// catch up later; the sidecar's own refusal is the first and fastest
-// signal that an endpoint is leaving.
-const avoidFor = 5 * time.Second
+// avoidDraining is how long an endpoint that refused a call as draining is
+// left out of routing. The refusal by the sidecar is the first sign that an
+// endpoint is about to leave; the configuration and the instance list, which
+// lags, follow later.
+const avoidDraining = 5 * time.Second
 
-// avoidance is why and how long an endpoint is routed around.
+// avoidance holds the end and the cause of the exclusion of one endpoint.
 type avoidance struct {
 	until time.Time
-	// busy: it refused as overloaded; urgent calls may still try it, since
-	// they go before what fills its queue.
-	busy bool
+	// overloaded is set if the endpoint refused as overloaded. Urgent calls
+	// are still sent to it, since they precede the calls that fill its queue.
+	overloaded bool
 }
 
-// avoidList holds endpoints to route around until a time.
+// avoidList holds the endpoints, and the entry instances under their
+// entryAvoidName, that are temporarily left out of routing. It is safe for
+// concurrent use.
 type avoidList struct {
 	clock clock.Clock
 	mu    sync.Mutex
 	until map[string]avoidance
 }
 
+// newAvoidList returns an empty list that reads the time from clk.
 func newAvoidList(clk clock.Clock) *avoidList {
 	return &avoidList{clock: clk, until: map[string]avoidance{}}
 }
 
-func (a *avoidList) add(name string, d time.Duration, busy bool) {
+// add leaves the endpoint out of routing for d from now; a previous exclusion
+// is replaced.
+func (a *avoidList) add(name string, d time.Duration, overloaded bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.until[name] = avoidance{until: a.clock.Now().Add(d), busy: busy}
+	a.until[name] = avoidance{until: a.clock.Now().Add(d), overloaded: overloaded}
 }
 
-func (a *avoidList) has(name string, urgent bool) bool {
+// avoids reports whether a call must not be sent to the endpoint. An urgent
+// call is not kept from an endpoint that is merely overloaded.
+func (a *avoidList) avoids(name string, urgent bool) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	v, ok := a.until[name]
@@ -47,9 +54,11 @@
 		delete(a.until, name)
 		return false
 	}
-	return ok && (!urgent || !v.busy)
+	return ok && (!urgent || !v.overloaded)
 }
 
+// names returns the names in the list in ascending order, including those
+// whose exclusion has ended but has not been looked up since.
 func (a *avoidList) names() []string {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/entry/chat.go
+++ b/entry/chat.go
@@ -12,8 +12,8 @@
 	"github.com/wagtaildrum/wagtaildrum/program"
 )
 
-// plainChat serves the OpenAI-compatible POST /v1/chat/completions for a
-// call outside any program, so ordinary clients work unchanged.
+// plainChat serves the OpenAI-compatible POST /v1/chat/completions for a call
+// outside any program, so that existing clients work unchanged.
 func (e *Entry) plainChat(w http.ResponseWriter, r *http.Request) {
 	var req engine.ChatRequest
 	if cerr := decodeChat(r, &req); cerr != nil {
@@ -24,19 +24,19 @@
 	ctx, cancel := context.WithTimeout(r.Context(), e.callTimeout)
 	defer cancel()
 	sse := newSSEWriter(w, &req)
-	got, res := e.modelCall(ctx, nil, 0, req.Model, req.Messages, req.Limit(defaultMaxTokens), sse.chunk)
+	got, res := e.modelCall(ctx, nil, 0, req.Model, req.Messages, req.Limit(defaultMaxTokens), sse.writeChunk)
 	if res.outcome != outcomeDone {
 		e.metrics.failed.Inc(1)
-		sse.fail(apiError(failure(res)))
+		sse.writeError(apiError(dispatchError(res)))
 		return
 	}
 	e.writeChat(w, &req, sse, 0, got.content.String(), got.usage)
 }
 
-// programChat serves POST /v1/chat/completions with the program headers
-// set: the call is the program's call of that sequence, checked for order
-// and charged to its budget.
-func (e *Entry) programChat(w http.ResponseWriter, r *http.Request, o *owned) {
+// programChat serves POST /v1/chat/completions for a request with the program
+// headers. The call has the sequence number given in the header, is checked
+// for order and is charged to the program's budget.
+func (e *Entry) programChat(w http.ResponseWriter, r *http.Request, o *ownedProgram) {
 	var req engine.ChatRequest
 	if cerr := decodeChat(r, &req); cerr != nil {
 		cerr.Write(w)
@@ -61,51 +61,54 @@
 	}
 	sse := newSSEWriter(w, &req)
 	if replay != nil {
-		// The call ran and its answer was lost on the way: give it again.
-		_ = sse.text(&req, replay.Content)
+		// The call has already run and its answer was lost in transit: send
+		// the stored answer.
+		_ = sse.writeContent(&req, replay.Content)
 		e.writeChat(w, &req, sse, seq, replay.Content, replay.Usage)
 		return
 	}
-	got, res := e.modelCall(ctx, o, seq, req.Model, req.Messages, limit, sse.chunk)
+	got, res := e.modelCall(ctx, o, seq, req.Model, req.Messages, limit, sse.writeChunk)
 	if res.outcome != outcomeDone {
-		e.abort(ctx, o, seq, got.used())
+		e.abort(ctx, o, seq, got.usedTokens())
 		e.metrics.failed.Inc(1)
-		sse.fail(apiError(failure(res)))
+		sse.writeError(apiError(dispatchError(res)))
 		return
 	}
 	ans := caller.Answer{Program: string(o.prog.ID()), Sequence: seq, Kind: caller.CallModel, Content: got.content.String(), Usage: got.usage, Endpoint: res.endpoint}
 	last := req.Messages[len(req.Messages)-1]
-	if err := e.finish(ctx, o, ans, got.used(), last, program.Message{Role: "assistant", Content: ans.Content}); err != nil {
-		sse.fail(apiError(err))
+	if err := e.finish(ctx, o, ans, got.usedTokens(), last, program.Message{Role: "assistant", Content: ans.Content}); err != nil {
+		sse.writeError(apiError(err))
 		return
 	}
 	e.writeChat(w, &req, sse, seq, ans.Content, got.usage)
 }
 
-// writeChat ends a chat answer: the stream's last event, or the whole
-// answer for a caller that does not stream.
+// writeChat completes a chat response: it sends the final event of a stream,
+// or the complete response to a caller that did not request a stream.
 func (e *Entry) writeChat(w http.ResponseWriter, req *engine.ChatRequest, sse *sseWriter, seq uint64, content string, usage *engine.Usage) {
 	if req.Stream {
-		sse.done()
+		sse.writeDone()
 		return
 	}
 	writeJSON(w, http.StatusOK, engine.ChatResponse{ID: fmt.Sprintf("chatcmpl-%s-%d", e.id, seq), Object: "chat.completion", Model: req.Model,
 		Choices: []engine.Choice{{Message: program.Message{Role: "assistant", Content: content}, FinishReason: "length"}}, Usage: usage})
 }
 
+// decodeChat decodes the body of r into req. It fails if the body is not a
+// chat request or lacks the model or the messages.
 func decodeChat(r *http.Request, req *engine.ChatRequest) *caller.Error {
 	if err := json.NewDecoder(http.MaxBytesReader(nil, r.Body, maxBody)).Decode(req); err != nil {
-		return caller.NewError(http.StatusBadRequest, caller.TypeInvalidRequest, "body is not a chat request: %v", err)
+		return caller.NewError(http.StatusBadRequest, caller.TypeInvalidRequest, "the body is not a valid chat request: %v", err)
 	}
 	if req.Model == "" || len(req.Messages) == 0 {
-		return caller.NewError(http.StatusBadRequest, caller.TypeInvalidRequest, "model and messages are required")
+		return caller.NewError(http.StatusBadRequest, caller.TypeInvalidRequest, "a chat request requires model and messages")
 	}
 	return nil
 }
 
-// sseWriter relays an engine's chunks to a streaming caller as
-// server-sent events; for a caller that did not ask to stream it does
-// nothing until the whole answer is written.
+// sseWriter relays an engine's chunks to a streaming caller as server-sent
+// events. For a caller that did not request a stream it writes no chunks;
+// writeChat then sends the complete response.
 type sseWriter struct {
 	w            http.ResponseWriter
 	stream       bool
@@ -117,8 +120,8 @@
 	return &sseWriter{w: w, stream: req.Stream, includeUsage: req.StreamOptions != nil && req.StreamOptions.IncludeUsage}
 }
 
-// text sends a whole answer as one chunk.
-func (s *sseWriter) text(req *engine.ChatRequest, content string) error {
+// writeContent sends a complete answer as one chunk.
+func (s *sseWriter) writeContent(req *engine.ChatRequest, content string) error {
 	stop := "length"
 	c := engine.ChatChunk{Object: "chat.completion.chunk", Model: req.Model,
 		Choices: []engine.ChunkChoice{{Delta: engine.Delta{Role: "assistant", Content: content}, FinishReason: &stop}}}
@@ -126,10 +129,11 @@
 	if err != nil {
 		return err
 	}
-	return s.chunk(raw, &c)
+	return s.writeChunk(raw, &c)
 }
 
-func (s *sseWriter) start() {
+// writeHeader sends the status and headers of the stream, once.
+func (s *sseWriter) writeHeader() {
 	if s.started {
 		return
 	}
@@ -139,11 +143,13 @@
 	s.w.WriteHeader(http.StatusOK)
 }
 
-func (s *sseWriter) chunk(raw []byte, c *engine.ChatChunk) error {
+// writeChunk sends one chunk as an event. It leaves out the usage chunk if
+// the caller did not request usage.
+func (s *sseWriter) writeChunk(raw []byte, c *engine.ChatChunk) error {
 	if !s.stream || (c.Usage != nil && len(c.Choices) == 0 && !s.includeUsage) {
 		return nil
 	}
-	s.start()
+	s.writeHeader()
 	if _, err := fmt.Fprintf(s.w, "data: %s\n\n", raw); err != nil {
 		return err
 	}
@@ -153,14 +159,16 @@
 	return nil
 }
 
-func (s *sseWriter) done() {
-	s.start()
+// writeDone sends the final event of the stream.
+func (s *sseWriter) writeDone() {
+	s.writeHeader()
 	_, _ = fmt.Fprint(s.w, "data: [DONE]\n\n")
 }
 
-// fail answers an error: as the whole response if nothing was streamed
-// yet, otherwise as a final error event, since the status line is gone.
-func (s *sseWriter) fail(cerr *caller.Error) {
+// writeError sends an error: as the complete response if nothing has been
+// streamed yet, otherwise as a final error event, since the status has
+// already been sent.
+func (s *sseWriter) writeError(cerr *caller.Error) {
 	if !s.started {
 		cerr.Write(s.w)
 		return
--- a/entry/checkpoint.go
+++ b/entry/checkpoint.go
@@ -13,15 +13,16 @@
 	"github.com/wagtaildrum/wagtaildrum/program"
 )
 
-// persistFor bounds how long a call waits for its turn to be durable before
-// the caller is told to come back for the answer.
-const persistFor = 2 * time.Second
+// persistTimeout bounds how long a call waits for its turn to become durable
+// before the caller receives an error with Retry-After and requests the
+// answer again.
+const persistTimeout = 2 * time.Second
 
-// stage hands the record that brings o's log up to its program to the
-// journal and keeps it pending. While another is pending, the record waits
-// for persist to stage it: two records under one index would leave it to
-// chance which of them a successor reads. The caller holds o.mu.
-func (e *Entry) stage(o *owned, record func(*program.Log, json.RawMessage) program.Checkpoint) {
+// stageRecord appends the next record of o's log to the journal and marks it
+// pending. While another record is pending, persist stages the next one
+// afterwards: with two records under one index it would be undefined which of
+// them a new owner reads. The caller must hold o.mu.
+func (e *Entry) stageRecord(o *ownedProgram, record func(*program.Log, json.RawMessage) program.Checkpoint) {
 	if o.pending != nil {
 		o.restage = true
 		return
@@ -34,26 +35,29 @@
 		Urgent: o.prog.Spec().Urgency >= program.UrgencyUrgent})
 }
 
-// stageTurn stages what changed since the last record.
-func (e *Entry) stageTurn(o *owned) {
-	e.stage(o, func(l *program.Log, answer json.RawMessage) program.Checkpoint { return l.Record(o.prog, answer) })
+// stageTurn stages a record with the changes since the last one. The caller
+// must hold o.mu.
+func (e *Entry) stageTurn(o *ownedProgram) {
+	e.stageRecord(o, func(l *program.Log, answer json.RawMessage) program.Checkpoint { return l.Record(o.prog, answer) })
 }
 
-// stageWhole stages a record that stands on its own.
-func (e *Entry) stageWhole(o *owned) {
-	e.stage(o, func(l *program.Log, answer json.RawMessage) program.Checkpoint { return l.RecordWhole(o.prog, answer) })
+// stageFull stages a full record. The caller must hold o.mu.
+func (e *Entry) stageFull(o *ownedProgram) {
+	e.stageRecord(o, func(l *program.Log, answer json.RawMessage) program.Checkpoint { return l.RecordWhole(o.prog, answer) })
 }
 
-// persist returns once o's pending records are durable. No answer leaves this
-// instance before the turn it belongs to is durable: an owner killed right
-// after would otherwise have told the caller of a turn that its successor
-// has never heard of, and the history would be lost.
+// persist waits until o's pending records are durable and returns a
+// *NotDurableError if they are not within persistTimeout. No answer is sent
+// before its turn is durable: if the owner crashed immediately after sending,
+// the caller would have received an answer to a turn missing from the history
+// that the new owner restores.
 //
-// While the store is down the answer is withheld, not lost: the journal
-// goes on trying, no further call of the program begins, and the caller,
-// sent back with Retry-After, gets the answer on the same sequence.
-func (e *Entry) persist(ctx context.Context, o *owned) error {
-	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), persistFor)
+// While the store is unavailable the answer is withheld, not lost: the
+// journal retries the write, no further call of the program begins, and the
+// caller, which received Retry-After, gets the answer when it sends the same
+// sequence number again.
+func (e *Entry) persist(ctx context.Context, o *ownedProgram) error {
+	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), persistTimeout)
 	defer cancel()
 	for {
 		o.mu.Lock()
@@ -71,13 +75,13 @@
 	}
 }
 
-// committed moves o's log past p, now durable, and stages what changed
-// meanwhile.
-func (e *Entry) committed(o *owned, p *journal.Pending) {
+// committed advances o's log past the durable record p and stages the changes
+// made while p was pending.
+func (e *Entry) committed(o *ownedProgram, p *journal.Pending) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if o.pending != p {
-		return // a duplicate of the call was first
+		return // another request for the same call has already done this
 	}
 	o.pending = nil
 	o.log.Committed(p.Checkpoint())
@@ -87,27 +91,28 @@
 	}
 }
 
-// NotDurableError says a turn ran but its record is not yet durable; the
-// answer is kept and given on the same sequence once it is.
+// NotDurableError is returned for a call that has run but whose record is not
+// yet durable. The answer is kept and is returned for the same sequence
+// number once the record is durable.
 type NotDurableError struct{ program program.ID }
 
-// Error names the program.
+// Error returns a message that names the program.
 func (e *NotDurableError) Error() string {
-	return fmt.Sprintf("program %s: the call ran and its answer is kept, but is not yet durable", e.program)
+	return fmt.Sprintf("program %s: the call ran and its answer is kept, but the record of its turn is not yet durable", e.program)
 }
 
-// adopt takes over a program this instance does not hold: one whose owner
-// died or was replaced and whose lease has lapsed. It takes the lease (a
-// higher fence, so the old owner is refused everywhere), replays the
-// program's log and opens an epoch of its own with a whole record. It
-// fails with a *LeaseError if the lease is still held, and with a
-// not-found error if the program has no log.
-func (e *Entry) adopt(ctx context.Context, id program.ID) (*owned, error) {
-	// One adoption of a program at a time: two callers arriving together
-	// must not each build an owned state of their own.
-	unlock := e.adopting.lock(string(id))
+// adopt makes this instance the owner of a program that it does not own,
+// whose previous owner crashed or was replaced and whose lease has ended. It
+// acquires the lease, whose higher fencing token has the previous owner
+// refused everywhere, replays the program's log and opens a new epoch with a
+// full record. It fails with a *LeaseError if another instance holds the
+// lease, and with a not-found error if the program does not exist.
+func (e *Entry) adopt(ctx context.Context, id program.ID) (*ownedProgram, error) {
+	// Adoptions of one program are serialised: two concurrent requests must
+	// not each create an ownedProgram.
+	unlock := e.programLocks.lock(string(id))
 	defer unlock()
-	if o, ok := e.lookup(id); ok {
+	if o, ok := e.lookupOwned(id); ok {
 		return o, nil
 	}
 	lease, err := e.acquireLease(ctx, id)
@@ -122,25 +127,27 @@
 	if err != nil {
 		return nil, err
 	}
-	o := &owned{prog: p, epoch: lease.version, leaseVer: lease.version, leaseExpires: lease.expires}
+	o := &ownedProgram{prog: p, epoch: lease.version, leaseVer: lease.version, leaseExpires: lease.expires}
 	if len(answer) > 0 {
 		var last caller.Answer
 		if json.Unmarshal(answer, &last) == nil && last.Sequence > 0 {
 			o.last = &lastAnswer{seq: last.Sequence, answer: last}
 		}
 	}
-	e.stageWhole(o)
+	e.stageFull(o)
 	if err := e.persist(ctx, o); err != nil {
 		return nil, err
 	}
-	e.keep(id, o)
+	e.addOwned(id, o)
 	e.log.Info("program adopted", "program", id, "next_sequence", p.NextSequence(), "messages", len(p.History()), "fence", lease.version)
 	return o, nil
 }
 
-// restore returns the program as its records describe it, or as it was
-// created if it has none.
-func restore(id program.ID, records []program.Checkpoint, lease *grant) (*program.Program, json.RawMessage, error) {
+// restore returns the program that the records describe, or the program as
+// created if there are none, and the answer of its last call. It fails if
+// there are neither records nor creation parameters, or if the records cannot
+// be replayed.
+func restore(id program.ID, records []program.Checkpoint, lease *acquiredLease) (*program.Program, json.RawMessage, error) {
 	if len(records) > 0 {
 		return program.Replay(id, records, lease.version)
 	}
@@ -151,14 +158,16 @@
 	return p, nil, err
 }
 
+// notFound returns the caller's error for a program that does not exist.
 func notFound(id program.ID) error {
 	return caller.NewError(http.StatusNotFound, caller.TypeNotFound, "no program %q", id)
 }
 
-// readLog reads the records of the program's newest epoch from the journals
-// that its lease names. An owner that died between taking the lease and
-// writing its first record leaves an epoch with none; the lease then still
-// names the journal of the epoch before it, which stands.
+// readLog returns the records of the program's newest epoch from the given
+// journals, which its lease names. An owner that crashed between acquiring
+// the lease and writing its first record leaves an epoch without records; the
+// lease then still names the journal of the previous epoch, whose records are
+// returned.
 func (e *Entry) readLog(ctx context.Context, id program.ID, journals []string) ([]program.Checkpoint, error) {
 	var newest journal.Log
 	for _, name := range slices.Backward(journals) {
--- a/entry/checkpoint_test.go
+++ b/entry/checkpoint_test.go
@@ -18,15 +18,13 @@
 	"github.com/wagtaildrum/wagtaildrum/standin"
 )
 
-// TestTurnEndingDuringCatchUpIsKept: a turn that ends while another record
-// of its program is on its way is not lost.
-//
-// Symptom: after an owner died, the last turn that was answered is missing.
-// Sequence: a call runs; the tidying goroutine stages a whole record of the
-// program, which has lain quiet; the call ends before that record is
-// durable, and is answered.
-// Cause: a second record under the index of the one still pending.
-func TestTurnEndingDuringCatchUpIsKept(t *testing.T) {
+// TestTurnEndedWhileRecordPendingIsPersisted guards against the loss of a
+// turn that ended while another record of its program was pending: after a
+// crash of the owner, the last answered turn was missing. A call runs; the
+// maintenance goroutine stages a full record of the program, which had been
+// idle; the call ends and is answered before that record is durable. The
+// fault is a second record under the index of the pending one.
+func TestTurnEndedWhileRecordPendingIsPersisted(t *testing.T) {
 	store := httptest.NewServer(standin.NewPlatform(0, time.Now).Handler())
 	defer store.Close()
 	s := &settings.Entry{Common: settings.Common{InstanceID: "entry-1"}, Platform: store.URL, LeaseTTL: time.Hour, JournalInterval: 20 * time.Millisecond}
@@ -40,12 +38,12 @@
 	}()
 	p, err := program.New(program.Spec{ID: "jur-quiet", BudgetTokens: 1000}, time.Now(), 1)
 	require.NoError(t, err)
-	o := &owned{prog: p, epoch: 1, leaseVer: 1, leaseExpires: time.Now().Add(time.Hour)}
+	o := &ownedProgram{prog: p, epoch: 1, leaseVer: 1, leaseExpires: time.Now().Add(time.Hour)}
 	for seq := uint64(1); seq <= 3; seq++ {
 		require.NoError(t, p.Begin(seq, 1, time.Now()))
 		if seq > 1 {
 			o.mu.Lock()
-			e.stageWhole(o)
+			e.stageFull(o)
 			o.mu.Unlock()
 		}
 		ans := caller.Answer{Program: "jur-quiet", Sequence: seq}
--- a/entry/dispatch.go
+++ b/entry/dispatch.go
@@ -12,35 +12,44 @@
 	"github.com/wagtaildrum/wagtaildrum/routing"
 )
 
-// maxAttempts bounds how many endpoints one call is offered to. A call
-// that was refused (not run) is offered elsewhere; a model call that broke
-// off is resumed elsewhere; a tool call that was sent and then failed is
-// never sent again by the entry.
+// maxAttempts bounds the endpoints that one call is sent to. A refused call
+// was not run and is sent to another endpoint; an interrupted model call is
+// resumed at another one; a tool call that was sent and then failed is never
+// sent again.
 const (
-	maxAttempts       = 3
-	avoidOverloaded   = 500 * time.Millisecond
-	avoidUnreachable  = 2 * time.Second
+	maxAttempts = 3
+	// avoidOverloaded is the longest time for which an overloaded endpoint is
+	// left out of routing, whatever delay it requests.
+	avoidOverloaded = 500 * time.Millisecond
+	// avoidUnreachable is how long an endpoint, or the owner of a program, is
+	// left out after a connection to it could not be established.
+	avoidUnreachable = 2 * time.Second
+	// defaultRetryAfter is the retry delay for a refused call if the endpoint
+	// was unreachable or none was available, so that no sidecar has given a
+	// delay.
 	defaultRetryAfter = time.Second
 )
 
-// Retries beyond a call's first attempt are kept to retryShare of all
-// calls, so that an overloaded system is not loaded further; retryReserve
-// lets a quiet system retry at all.
+// Retries, that is attempts after a call's first, are limited to retryShare
+// of all calls, so that they add little load to an overloaded system.
+// retryReserve is the number of retries allowed even with few calls.
 const (
 	retryShare   = 0.2
 	retryReserve = 20
 )
 
-// outcome says how a dispatch ended.
+// outcome is the result of a dispatch.
 type outcome int
 
 const (
-	outcomeDone    outcome = iota // complete answer received
-	outcomeRefused                // not run anywhere: safe to send again
-	outcomeUnknown                // sent, then failed or cut: may have run
+	outcomeDone    outcome = iota // a complete answer was received
+	outcomeRefused                // not run at any endpoint: safe to send again
+	outcomeUnknown                // sent, then failed or interrupted: may have run
 )
 
-// dispatchResult is what dispatch learned.
+// dispatchResult holds the result of a dispatch: the endpoint last tried, and
+// for a refusal or failure its reason, the error and the delay before a
+// retry.
 type dispatchResult struct {
 	outcome    outcome
 	endpoint   string
@@ -49,20 +58,22 @@
 	err        error
 }
 
-// sink takes in a call's answer piece by piece; cached tells the prompt
-// tokens the engine said it held, once known.
-type sink interface {
-	data(piece []byte) error
-	cached() int
+// responseSink receives the response of a call in pieces. cachedTokens
+// returns the number of prompt tokens that the engine reported as cached, or
+// 0 before it did.
+type responseSink interface {
+	write(piece []byte) error
+	cachedTokens() int
 }
 
-// dispatch offers call to up to maxAttempts endpoints, as the router picks
-// them, and passes each piece of the answer to into. An endpoint that
-// refuses as draining is avoided for a while: the sidecar's refusal is the
-// first signal that it leaves, ahead of the configuration and the lagging
-// instance list. Endpoints named in tried are not offered the call; those
-// offered it are added.
-func (e *Entry) dispatch(ctx context.Context, req *routing.Request, call *peer.Call, into sink, tried map[string]bool) dispatchResult {
+// dispatch sends call to up to maxAttempts endpoints, in the order in which
+// the router selects them, until one of them does not refuse it, and passes
+// each piece of the response to into. Attempts after the first count against
+// the retry budget, except for urgent calls. An endpoint that refuses is left
+// out of routing for a while. Endpoints in tried are skipped, and those that
+// were sent the call are added to it. A refusal for a stale fencing token is
+// final, since it means that the program has a new owner.
+func (e *Entry) dispatch(ctx context.Context, req *routing.Request, call *peer.Call, into responseSink, tried map[string]bool) dispatchResult {
 	e.retries.Call()
 	urgent := call.Urgency >= int(program.UrgencyUrgent)
 	res := dispatchResult{outcome: outcomeRefused, reason: "no_endpoint", retryAfter: defaultRetryAfter}
@@ -70,7 +81,7 @@
 		if attempt > 0 && !urgent && !e.retries.Retry() {
 			break
 		}
-		choice, ok := e.router.Pick(req, func(name string) bool { return tried[name] || e.avoid.has(name, urgent) })
+		choice, ok := e.router.Pick(req, func(name string) bool { return tried[name] || e.avoid.avoids(name, urgent) })
 		if !ok {
 			break
 		}
@@ -83,7 +94,9 @@
 	return res
 }
 
-func (e *Entry) offer(ctx context.Context, choice *routing.Choice, req *routing.Request, call *peer.Call, into sink) dispatchResult {
+// offer sends call to the chosen endpoint, waits for its end, and reports the
+// outcome to the router.
+func (e *Entry) offer(ctx context.Context, choice *routing.Choice, req *routing.Request, call *peer.Call, into responseSink) dispatchResult {
 	ep := choice.Endpoint()
 	res := dispatchResult{endpoint: ep.Name}
 	var report *routing.Report
@@ -95,7 +108,7 @@
 		switch f.Type {
 		case peer.FrameData:
 			e.router.First(choice)
-			return into.data(f.Data)
+			return into.write(f.Data)
 		case peer.FrameEnd:
 			res.outcome = outcomeDone
 		case peer.FrameRefused:
@@ -109,7 +122,8 @@
 	})
 	switch {
 	case !sent:
-		// Never reached the sidecar: not run. Route around it for a while.
+		// The call did not reach the sidecar, so it was not run. Leave the
+		// endpoint out of routing for a while.
 		e.avoid.add(ep.Name, avoidUnreachable, false)
 		res = dispatchResult{outcome: outcomeRefused, endpoint: ep.Name, reason: "unreachable", retryAfter: defaultRetryAfter, err: err}
 	case err != nil:
@@ -117,27 +131,30 @@
 	case res.outcome == outcomeRefused:
 		e.refused(ep.Name, &res)
 	}
-	e.router.Done(choice, routing.Outcome{Ran: res.outcome == outcomeDone, Cached: into.cached(), Report: report})
+	e.router.Done(choice, routing.Outcome{Ran: res.outcome == outcomeDone, Cached: into.cachedTokens(), Report: report})
 	return res
 }
 
-// refused keeps an endpoint that refused out of routing for as long as its
-// reason is likely to last.
+// refused leaves an endpoint that refused a call out of routing for as long
+// as the reason is expected to last.
 func (e *Entry) refused(name string, res *dispatchResult) {
 	e.metrics.refused.Inc(1)
 	switch res.reason {
 	case "draining":
-		e.avoid.add(name, avoidFor, false)
+		e.avoid.add(name, avoidDraining, false)
 	case "overloaded":
 		e.avoid.add(name, min(max(res.retryAfter, time.Millisecond), avoidOverloaded), true)
 	}
 }
 
+// reportOf converts a sidecar's report from the peer protocol to the router's
+// form.
 func reportOf(r *peer.Report) *routing.Report {
 	return &routing.Report{Running: r.Running, Waiting: r.Waiting, Limit: r.Limit, Sequence: r.Sequence, Removed: r.Removed, Reset: r.Reset}
 }
 
-// EndpointError is what a sidecar said when it refused or failed a call.
+// EndpointError holds the reason and message with which a sidecar refused or
+// failed a call.
 type EndpointError struct {
 	reason  string
 	message string
@@ -146,9 +163,10 @@
 // Error returns "REASON: MESSAGE".
 func (e *EndpointError) Error() string { return e.reason + ": " + e.message }
 
-// refusalError is the caller's answer to a call refused everywhere: it was
-// not run, and says when to come back, a little later for some than for
-// others so that they do not all come back together.
+// refusalError returns the caller's error for a call that every endpoint
+// refused. The error states that the call was not run, and carries a
+// Retry-After with random jitter, so that callers refused together do not
+// retry together.
 func refusalError(res dispatchResult) *caller.Error {
 	after := max(res.retryAfter, 100*time.Millisecond)
 	after += retry.Jitter(after / 2)
--- a/entry/entry.go
+++ b/entry/entry.go
@@ -23,7 +23,7 @@
 	"github.com/wagtaildrum/wagtaildrum/tableservice"
 )
 
-// Entry is one entry instance.
+// Entry is an entry instance. It is safe for concurrent use.
 type Entry struct {
 	id          string
 	leaseTTL    time.Duration
@@ -33,8 +33,12 @@
 	platform    *tableservice.Client
 	peers       *peer.Client
 	log         *slog.Logger
-	config      atomic.Pointer[config.Config]
-	configMu    sync.Mutex
+	// config is the current configuration; configMu serialises its
+	// replacement.
+	config   atomic.Pointer[config.Config]
+	configMu sync.Mutex
+	// avoid holds the endpoints and entry instances left out of routing for a
+	// time.
 	avoid       *avoidList
 	metrics     metrics
 	router      *routing.Router[routing.Policy]
@@ -42,18 +46,25 @@
 	blockTokens int
 	peerAddress string
 	handler     http.Handler
-	holders     *holders
-	// journal is this process's own; journals reads others'.
+	// holderCache holds the addresses of the owners of programs that other
+	// instances own.
+	holderCache *holderCache
+	// journal writes the journal of this process; journals reads those of
+	// other processes as well.
 	journal  *journal.Writer
 	journals *journal.Reader
-	adopting keyLocks
-	// ended are programs whose leases are yet to be marked.
-	ended chan *owned
+	// programLocks serialises the creation and adoption of each program.
+	programLocks keyLocks
+	// ended queues programs that have ended and whose leases are not yet
+	// marked as ended.
+	ended chan *ownedProgram
 
-	mu       sync.Mutex
-	programs map[program.ID]*owned
+	mu sync.Mutex
+	// programs holds the programs owned by this instance, guarded by mu.
+	programs map[program.ID]*ownedProgram
 }
 
+// metrics holds the instruments of an entry instance.
 type metrics struct {
 	calls    tally.Counter
 	refused  tally.Counter
@@ -63,7 +74,7 @@
 }
 
 // New returns an entry instance with the settings s, which must have been
-// checked.
+// validated. An unknown routing policy is replaced by Affinity.
 func New(s *settings.Entry, clk clock.Clock, log *slog.Logger, scope tally.Scope) *Entry {
 	e := &Entry{
 		id:          s.InstanceID,
@@ -75,10 +86,10 @@
 		peers:       peer.NewClient(clk),
 		log:         log,
 		avoid:       newAvoidList(clk),
-		programs:    map[program.ID]*owned{},
+		programs:    map[program.ID]*ownedProgram{},
 		peerAddress: s.PeerListen,
-		holders:     newHolders(clk),
-		ended:       make(chan *owned, endsQueued),
+		holderCache: newHolderCache(clk),
+		ended:       make(chan *ownedProgram, endedQueueSize),
 		metrics: metrics{
 			calls:    scope.Counter("calls"),
 			refused:  scope.Counter("refused"),
@@ -101,19 +112,21 @@
 	return e
 }
 
-// journalName returns a journal name that no other process has: an instance
-// that restarts writes a new journal.
+// journalName returns a name that is unique to this process: a restarted
+// instance writes a new journal.
 func journalName(instance string, clk clock.Clock) string {
 	return fmt.Sprintf("%s-%x-%08x", instance, clk.Now().UnixMilli(), rand.Uint32())
 }
 
-// WriteJournal makes staged turns durable until ctx ends, then reports on
-// done. It must outlive the calls in flight.
+// WriteJournal writes staged turns to the store until ctx ends, then sends
+// its result on done. It must keep running until the last call in flight has
+// ended.
 func (e *Entry) WriteJournal(ctx context.Context, done chan<- error) { e.journal.Run(ctx, done) }
 
-// Handler returns the callers' HTTP API.
+// Handler returns the handler of the HTTP API for callers.
 func (e *Entry) Handler() http.Handler { return e.handler }
 
+// newHandler returns the handler of all routes of the HTTP API.
 func (e *Entry) newHandler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST /v1/programs", e.createProgram)
@@ -135,7 +148,7 @@
 // Close closes the peer connections.
 func (e *Entry) Close() { e.peers.Close() }
 
-// State is the entry instance's state dump.
+// State holds the state dump of an entry instance.
 type State struct {
 	ID            string            `json:"id"`
 	ConfigVersion uint64            `json:"config_version"`
@@ -147,7 +160,7 @@
 	Programs      []ProgramDump     `json:"programs"`
 }
 
-// ProgramDump is one owned program in the state dump.
+// ProgramDump holds the state of one owned program in the state dump.
 type ProgramDump struct {
 	ID       string `json:"id"`
 	State    string `json:"state"`
@@ -158,12 +171,12 @@
 	InFlight bool   `json:"in_flight"`
 }
 
-// State returns a snapshot for the state dump.
+// State returns a snapshot of the instance for the state dump, as a State.
 func (e *Entry) State() any {
 	cfg := e.config.Load()
 	st := State{ID: e.id, ConfigVersion: cfg.Version, Endpoints: cfg.Endpoints, Avoided: e.avoid.names(), Routing: e.router.View(), Peers: e.peers.Len(), Journal: e.journal.Stats()}
 	e.mu.Lock()
-	all := make([]*owned, 0, len(e.programs))
+	all := make([]*ownedProgram, 0, len(e.programs))
 	for _, o := range e.programs {
 		all = append(all, o)
 	}
--- a/entry/forward.go
+++ b/entry/forward.go
@@ -14,27 +14,32 @@
 	"github.com/wagtaildrum/wagtaildrum/program"
 )
 
-// forwardedHeader marks a request another entry instance passed on. It is
-// not passed on again: two instances that each think the other the owner
-// would otherwise send it round for ever.
+// forwardedHeader marks a request that another entry instance forwarded. It
+// is not forwarded again: two instances that each take the other for the
+// owner would otherwise forward it endlessly.
 const forwardedHeader = "Wagtaildrum-Forwarded"
 
-// retryAfterForward is when a caller should come back whose request could
-// not reach the program's owner.
+// retryAfterForward is the Retry-After sent when a request could not be
+// forwarded to the program's owner.
 const retryAfterForward = time.Second
 
-// passedHeaders are the request headers that travel with a forwarded
+// relayedHeaders lists the request headers that are copied to a forwarded
 // request.
-var passedHeaders = []string{"Content-Type", caller.ProgramHeader, caller.SequenceHeader}
+var relayedHeaders = []string{"Content-Type", caller.ProgramHeader, caller.SequenceHeader}
 
+// forwarded reports whether another entry instance forwarded r.
 func forwarded(r *http.Request) bool { return r.Header.Get(forwardedHeader) != "" }
 
-// forward sends the request to the entry instance at address, which owns
-// the program, and relays its answer.
+// forward sends the request to the entry instance at address, which owns the
+// program, and relays the response to the caller. If the owner cannot be
+// reached, the caller receives an error which states that the call was not
+// run. If the connection fails during the call, the caller is asked to send
+// the same sequence number again, or, once the response has begun, the
+// connection is closed.
 func (e *Entry) forward(w http.ResponseWriter, r *http.Request, id program.ID, address string) {
-	if e.avoid.has(peerName(address), false) {
-		// It was out of reach a moment ago: say so at once instead of
-		// holding the caller for another handshake that nobody answers.
+	if e.avoid.avoids(entryAvoidName(address), false) {
+		// The owner was unreachable a moment ago: refuse at once instead of
+		// delaying the caller by another handshake that is likely to fail.
 		ownerUnreachable().Write(w)
 		return
 	}
@@ -44,7 +49,7 @@
 		return
 	}
 	fr := peer.Forward{Method: r.Method, Path: r.URL.Path, Header: map[string]string{forwardedHeader: e.id}, Body: body}
-	for _, name := range passedHeaders {
+	for _, name := range relayedHeaders {
 		if v := r.Header.Get(name); v != "" {
 			fr.Header[name] = v
 		}
@@ -54,44 +59,48 @@
 		apiError(err).Write(w)
 		return
 	}
-	ctx, cancel := context.WithTimeout(r.Context(), e.callTimeout+persistFor)
+	ctx, cancel := context.WithTimeout(r.Context(), e.callTimeout+persistTimeout)
 	defer cancel()
 	relay := relayWriter{w: w}
-	sent, err := e.peers.Do(ctx, address, &peer.Call{Kind: peer.KindForward, Program: string(id), Body: raw}, relay.frame)
+	sent, err := e.peers.Do(ctx, address, &peer.Call{Kind: peer.KindForward, Program: string(id), Body: raw}, relay.writeFrame)
 	if err == nil {
 		return
 	}
-	e.holders.drop(id)
-	e.log.Info("forward failed", "program", id, "owner", address, "sent", sent, "err", err)
+	e.holderCache.drop(id)
+	e.log.Info("forwarding to the program's owner failed", "program", id, "owner", address, "sent", sent, "err", err)
 	switch {
 	case !sent:
-		e.avoid.add(peerName(address), avoidUnreachable, false)
+		e.avoid.add(entryAvoidName(address), avoidUnreachable, false)
 		ownerUnreachable().Write(w)
 	case !relay.started:
-		// The owner may have run the call. Sending the same sequence again
-		// is safe: it is answered from the log or the intent record.
-		caller.NewError(http.StatusBadGateway, caller.TypeUpstreamFailed, "the program's owner was lost during the call; send the same sequence again").RetryAfter(retryAfterForward).Write(w)
+		// The owner may have run the call. Sending the same sequence number
+		// again is safe: it is answered from the log or the intent record.
+		caller.NewError(http.StatusBadGateway, caller.TypeUpstreamFailed, "the connection to the instance that owns the program failed during the call; send the same sequence number again").RetryAfter(retryAfterForward).Write(w)
 	default:
-		// Part of a stream is out; ending the connection without the
-		// stream's last event tells the caller that it is not whole.
+		// Part of the response has been sent. Closing the connection without
+		// the stream's final event shows the caller that it is incomplete.
 		panic(http.ErrAbortHandler)
 	}
 }
 
-// peerName is an entry instance's name in the list of what to avoid.
-func peerName(address string) string { return "entry " + address }
+// entryAvoidName returns the name of the entry instance at address in the
+// avoidList.
+func entryAvoidName(address string) string { return "entry " + address }
 
+// ownerUnreachable returns the caller's error for a program whose owner
+// cannot be reached.
 func ownerUnreachable() *caller.Error {
-	return caller.NewError(http.StatusServiceUnavailable, caller.TypeUnavailable, "not run: the program's owner cannot be reached").RetryAfter(retryAfterForward)
+	return caller.NewError(http.StatusServiceUnavailable, caller.TypeUnavailable, "not run: the instance that owns the program cannot be reached").RetryAfter(retryAfterForward)
 }
 
-// relayWriter writes a forwarded request's answer to the caller.
+// relayWriter relays the response to a forwarded request to the caller.
 type relayWriter struct {
 	w       http.ResponseWriter
 	started bool
 }
 
-func (r *relayWriter) frame(f peer.Frame) error {
+// writeFrame writes the header or the data in f to the caller.
+func (r *relayWriter) writeFrame(f peer.Frame) error {
 	switch f.Type {
 	case peer.FrameHead:
 		var head peer.Head
@@ -114,11 +123,11 @@
 	return nil
 }
 
-// HandlePeer serves a request forwarded by another entry instance; it is a
+// HandlePeer serves a request forwarded by another entry instance. It is a
 // peer.Handler.
 func (e *Entry) HandlePeer(ctx context.Context, call *peer.Call, send func(peer.Frame) error) {
 	if call.Kind != peer.KindForward {
-		_ = send(peer.Frame{Type: peer.FrameRefused, Reason: "not_an_endpoint", Message: "an entry instance takes forwarded requests only"})
+		_ = send(peer.Frame{Type: peer.FrameRefused, Reason: "not_an_endpoint", Message: "an entry instance accepts forwarded requests only"})
 		return
 	}
 	var fr peer.Forward
@@ -136,7 +145,8 @@
 	_ = send(peer.Frame{Type: peer.FrameEnd})
 }
 
-// frameWriter is an http.ResponseWriter that sends the answer as frames.
+// frameWriter is an http.ResponseWriter that sends the response as peer
+// frames.
 type frameWriter struct {
 	send    func(peer.Frame) error
 	header  http.Header
@@ -146,10 +156,12 @@
 // Header implements http.ResponseWriter.
 func (w *frameWriter) Header() http.Header { return w.header }
 
-// Flush implements http.Flusher; each Write is a frame of its own already.
+// Flush implements http.Flusher. It does nothing, since each Write already
+// sends a frame.
 func (w *frameWriter) Flush() {}
 
-// WriteHeader implements http.ResponseWriter.
+// WriteHeader implements http.ResponseWriter. Calls after the first have no
+// effect.
 func (w *frameWriter) WriteHeader(status int) {
 	if w.started {
 		return
--- a/entry/idle.go
+++ b/entry/idle.go
@@ -2,12 +2,12 @@
 
 import "time"
 
-// idlePoll is how often WaitIdle looks again.
+// idlePoll is the interval at which WaitIdle checks for calls in flight.
 const idlePoll = 10 * time.Millisecond
 
-// WaitIdle returns once no owned program has a call in flight, or after
-// timeout. A planned stop waits for it, so calls forwarded by other
-// instances finish here before the peer server stops.
+// WaitIdle waits until no owned program has a call in flight or a pending
+// record, for at most timeout. A planned stop calls it so that calls
+// forwarded by other instances complete before the peer server stops.
 func (e *Entry) WaitIdle(timeout time.Duration) {
 	end := time.Now().Add(timeout)
 	for time.Now().Before(end) && e.inFlight() > 0 {
@@ -15,6 +15,8 @@
 	}
 }
 
+// inFlight returns the number of owned programs with a call in flight or a
+// pending record.
 func (e *Entry) inFlight() int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/entry/intent.go
+++ b/entry/intent.go
@@ -9,19 +9,21 @@
 	"github.com/wagtaildrum/wagtaildrum/tableservice"
 )
 
-// intentState is where a non-idempotent call stands in its intent record.
+// intentState is the state of a non-idempotent call in its intent record.
 type intentState string
 
+// States of an intent record: the call may have been sent, it completed, or
+// every endpoint refused it.
 const (
 	intentDispatched intentState = "dispatched"
 	intentDone       intentState = "done"
 	intentRefused    intentState = "refused"
 )
 
-// intentRecord is the value under intent/{program}/{sequence}. It is
-// written before a non-idempotent call is sent, so whatever fails
-// afterwards (the entry dies, the answer is lost, the caller retries),
-// a second attempt finds the record and never sends the call again.
+// intentRecord is the value under intent/{program}/{sequence} in the table
+// service. It is written before a non-idempotent call is sent. If the entry
+// instance crashes, the response is lost or the caller retries, the next
+// attempt finds the record and does not send the call again.
 type intentRecord struct {
 	State    intentState     `json:"state"`
 	Claimant string          `json:"claimant"`
@@ -29,67 +31,73 @@
 	Result   json.RawMessage `json:"result,omitempty"`
 }
 
+// intentKey returns the key of the intent record of call seq.
 func intentKey(id program.ID, seq uint64) string { return fmt.Sprintf("intent/%s/%d", id, seq) }
 
-// claim is the result of trying to claim an intent.
-type claim struct {
+// intentClaim is the result of an attempt to claim an intent: the version of
+// the written record, or the record of another attempt.
+type intentClaim struct {
 	version  uint64
 	existing *intentRecord
 }
 
-// claimIntent writes a dispatched intent for (id, seq). It returns the
-// record's version if this attempt may send the call, or the record found
-// if another attempt already claimed it. A platform error means nothing
-// may be sent.
+// claimIntent writes an intent record in state dispatched for call seq. The
+// result holds the record's version if this attempt may send the call, and
+// the existing record if another attempt has claimed the call before. On an
+// error the call must not be sent.
 //
-// A lost answer to the put is resolved by reading the record back: the
-// claimant field, unique to this attempt, tells whether our write took.
-func (e *Entry) claimIntent(ctx context.Context, id program.ID, seq uint64, claimant string) (claim, error) {
+// A write whose response was lost is resolved by reading the record: its
+// claimant, which is unique to this attempt, shows whether the write took
+// effect.
+func (e *Entry) claimIntent(ctx context.Context, id program.ID, seq uint64, claimant string) (intentClaim, error) {
 	key := intentKey(id, seq)
-	mine := intentRecord{State: intentDispatched, Claimant: claimant}
+	intent := intentRecord{State: intentDispatched, Claimant: claimant}
 	expect := uint64(0)
 	for range 2 {
-		ver, err := e.platform.Put(ctx, key, mine, expect)
+		ver, err := e.platform.Put(ctx, key, intent, expect)
 		if err == nil {
-			return claim{version: ver}, nil
+			return intentClaim{version: ver}, nil
 		}
 		if !tableservice.Is(err, tableservice.FailureConflict) && !tableservice.Is(err, tableservice.FailureUnavailable) {
-			return claim{}, err
+			return intentClaim{}, err
 		}
 		rec, rerr := e.platform.Get(ctx, key)
 		if rerr != nil {
-			return claim{}, err
+			return intentClaim{}, err
 		}
 		var found intentRecord
 		if jerr := json.Unmarshal(rec.Value, &found); jerr != nil {
-			return claim{}, jerr
+			return intentClaim{}, jerr
 		}
 		switch {
 		case found.Claimant == claimant && found.State == intentDispatched:
-			return claim{version: rec.Version}, nil
+			return intentClaim{version: rec.Version}, nil
 		case found.State == intentRefused:
-			// An earlier attempt was refused everywhere, so it never ran:
-			// this attempt may claim it again, at its version.
+			// An earlier attempt was refused by every endpoint, so the call
+			// has not run. This attempt may claim it at the record's version.
 			expect = rec.Version
 			continue
 		}
-		return claim{existing: &found}, nil
+		return intentClaim{existing: &found}, nil
 	}
-	return claim{}, &ContendedError{key: key}
+	return intentClaim{}, &IntentContentionError{key: key}
 }
 
-// ContendedError says an intent record kept changing under us; nothing was
-// sent and the caller may try again.
-type ContendedError struct{ key string }
+// IntentContentionError is returned when an intent record was changed
+// concurrently on every attempt to claim it. The call was not sent and may be
+// retried.
+type IntentContentionError struct{ key string }
 
-// Error names the record.
-func (e *ContendedError) Error() string { return "intent " + e.key + " contended" }
+// Error returns a message that names the record.
+func (e *IntentContentionError) Error() string {
+	return "intent record " + e.key + " was changed concurrently; the call was not sent"
+}
 
-// settleIntent records the final state of a claimed intent. It is best
-// effort: if it fails, the record stays "dispatched" and a retry answers
-// outcome_unknown instead of running the call again.
+// settleIntent records the final state of a claimed intent. A failure is
+// logged only: the record then remains in state dispatched, and a retry is
+// answered with outcome_unknown instead of running the call again.
 func (e *Entry) settleIntent(ctx context.Context, id program.ID, seq uint64, version uint64, rec intentRecord) {
 	if _, err := e.platform.Put(ctx, intentKey(id, seq), rec, version); err != nil {
-		e.log.Warn("intent settle failed", "program", id, "seq", seq, "state", rec.State, "err", err)
+		e.log.Warn("final state of intent not recorded; a retry will report an unknown outcome", "program", id, "seq", seq, "state", rec.State, "err", err)
 	}
 }
--- a/entry/keylock.go
+++ b/entry/keylock.go
@@ -2,19 +2,21 @@
 
 import "sync"
 
-// keyLocks is a set of locks by key; a key's lock exists while it is held
-// or waited for. Its zero value is ready for use.
+// keyLocks is a set of mutexes by key. The mutex of a key exists while it is
+// locked or waited for. The zero value is ready to use.
 type keyLocks struct {
 	mu   sync.Mutex
 	held map[string]*keyLock
 }
 
+// keyLock is the mutex of one key; refs counts the goroutines that hold it or
+// wait for it.
 type keyLock struct {
-	mu    sync.Mutex
-	users int
+	mu   sync.Mutex
+	refs int
 }
 
-// lock locks key and returns the function that unlocks it.
+// lock locks the mutex of key and returns the function that unlocks it.
 func (k *keyLocks) lock(key string) (unlock func()) {
 	k.mu.Lock()
 	if k.held == nil {
@@ -25,14 +27,14 @@
 		l = &keyLock{}
 		k.held[key] = l
 	}
-	l.users++
+	l.refs++
 	k.mu.Unlock()
 	l.mu.Lock()
 	return func() {
 		l.mu.Unlock()
 		k.mu.Lock()
 		defer k.mu.Unlock()
-		if l.users--; l.users == 0 {
+		if l.refs--; l.refs == 0 {
 			delete(k.held, key)
 		}
 	}
--- a/entry/leasecreate.go
+++ b/entry/leasecreate.go
@@ -10,60 +10,65 @@
 	"github.com/wagtaildrum/wagtaildrum/tableservice"
 )
 
-// newProgram is what a program is created with.
+// newProgram holds the creation parameters of a program and the time of its
+// creation.
 type newProgram struct {
 	Spec    program.Spec `json:"spec"`
 	Created time.Time    `json:"created"`
 }
 
-// ExistsError says a program id was used before.
+// ExistsError is returned when a program is created with an ID that has been
+// used before.
 type ExistsError struct{ program program.ID }
 
-// Error names the program.
-func (e *ExistsError) Error() string { return fmt.Sprintf("program %s exists", e.program) }
+// Error returns a message that names the program.
+func (e *ExistsError) Error() string { return fmt.Sprintf("program %s already exists", e.program) }
 
-// createLease takes the first lease on a new program, in one write that
-// also holds what the program was created with: until its first turn it has
-// no record in a journal. It fails with an *ExistsError if the id is taken.
+// createLease writes the first lease of a new program. The same write stores
+// the creation parameters, since until its first turn the program has no
+// record in a journal. It fails with an *ExistsError if the ID has been used.
 //
-// A creation whose answer was lost, and could not be read back, is found
-// again when its caller retries here: the lease is this process's, and holds
-// the same program without a turn.
-func (e *Entry) createLease(ctx context.Context, created *newProgram) (grant, error) {
+// If the response to the write is lost and the record cannot be read, the
+// creation fails, although the lease may have been written. A retry by the
+// caller at this instance then succeeds, since the lease names this process
+// and holds the same program without a turn.
+func (e *Entry) createLease(ctx context.Context, created *newProgram) (acquiredLease, error) {
 	id := created.Spec.ID
-	want := e.leaseUntil(e.clock.Now().Add(e.leaseTTL))
+	want := e.newLeaseRecord(e.clock.Now().Add(e.leaseTTL))
 	want.New = created
-	got := grant{expires: time.UnixMilli(want.Expires)}
+	got := acquiredLease{expires: time.UnixMilli(want.Expires)}
 	var err error
 	got.version, err = e.platform.Put(ctx, leaseKey(id), want, 0)
 	switch {
 	case tableservice.Is(err, tableservice.FailureUnavailable):
 		var rerr error
-		if got.version, rerr = e.readBackLease(ctx, id, want, 0); rerr != nil {
-			return grant{}, err
+		if got.version, rerr = e.verifyLeaseWrite(ctx, id, want, 0); rerr != nil {
+			return acquiredLease{}, err
 		}
 	case tableservice.Is(err, tableservice.FailureConflict):
-		return e.createAgain(ctx, created)
+		return e.recoverCreatedLease(ctx, created)
 	case err != nil:
-		return grant{}, err
+		return acquiredLease{}, err
 	}
 	return got, nil
 }
 
-// createAgain takes the lease of a program that this process created, if it
-// is the same and has run no turn; programs kept here never get so far.
-func (e *Entry) createAgain(ctx context.Context, created *newProgram) (grant, error) {
+// recoverCreatedLease acquires the lease of a program that this process has
+// already created, provided that it has the same parameters and no turn, and
+// fails with an *ExistsError otherwise. A program that this instance holds in
+// memory is rejected before this point.
+func (e *Entry) recoverCreatedLease(ctx context.Context, created *newProgram) (acquiredLease, error) {
 	id := created.Spec.ID
 	rec, err := e.platform.Get(ctx, leaseKey(id))
 	if err != nil {
-		return grant{}, err
+		return acquiredLease{}, err
 	}
 	var held leaseRecord
 	if err := json.Unmarshal(rec.Value, &held); err != nil {
-		return grant{}, err
+		return acquiredLease{}, err
 	}
 	if held.Ended || !held.heldBy(e.journal.Name()) || held.New == nil || !held.New.Spec.Equal(&created.Spec) {
-		return grant{}, &ExistsError{program: id}
+		return acquiredLease{}, &ExistsError{program: id}
 	}
 	return e.acquireLease(ctx, id)
 }
--- a/entry/leaseend.go
+++ b/entry/leaseend.go
@@ -10,26 +10,27 @@
 )
 
 const (
-	// endsQueued bounds the programs whose leases wait to be marked ended;
-	// those beyond it keep their records in the journal.
-	endsQueued = 1 << 16
-	// endPause lies between two marks: nobody waits for them, and in a burst
-	// the store's writes are better spent on programs that run.
-	endPause = 20 * time.Millisecond
+	// endedQueueSize bounds the programs that wait for their leases to be
+	// marked as ended. Programs beyond it keep their records in the journal.
+	endedQueueSize = 1 << 16
+	// endedWriteInterval is the delay between two writes that mark leases as
+	// ended. No caller waits for them, and during a burst the write capacity
+	// of the store is needed for running programs.
+	endedWriteInterval = 20 * time.Millisecond
 )
 
-// markEnded has the program's lease marked as ended soon, so that its
-// records can be dropped and its id is still known to be used. Until then,
-// its last record says that it ended.
-func (e *Entry) markEnded(o *owned) {
+// queueEndedLease queues the program's lease to be marked as ended, after
+// which its records can be dropped while its ID remains in use. Until then
+// the program's last record shows that it has ended.
+func (e *Entry) queueEndedLease(o *ownedProgram) {
 	select {
 	case e.ended <- o:
 	default:
-		e.log.Warn("end of program not marked", "program", o.prog.ID(), "queued", endsQueued)
+		e.log.Warn("lease of ended program not marked: queue is full; its records stay in the journal", "program", o.prog.ID(), "queued", endedQueueSize)
 	}
 }
 
-// MarkEnds marks the leases of ended programs until ctx ends, then reports
+// MarkEnds marks the leases of ended programs until ctx ends, then sends nil
 // on done.
 func (e *Entry) MarkEnds(ctx context.Context, done chan<- error) {
 	for {
@@ -38,36 +39,40 @@
 			done <- nil
 			return
 		case o := <-e.ended:
-			e.endLease(ctx, o)
+			e.writeEndedLease(ctx, o)
 		}
-		clock.Sleep(ctx, endPause) // the loop sees the end of ctx
+		clock.Sleep(ctx, endedWriteInterval) // the loop checks ctx
 	}
 }
 
-func (e *Entry) endLease(ctx context.Context, o *owned) {
+// writeEndedLease marks the program's lease as ended and releases its journal
+// records. A failure is logged, and the records stay in the journal.
+func (e *Entry) writeEndedLease(ctx context.Context, o *ownedProgram) {
 	o.mu.Lock()
 	id, ver := o.prog.ID(), o.leaseVer
 	o.mu.Unlock()
-	ctx, cancel := context.WithTimeout(ctx, settleFor)
+	ctx, cancel := context.WithTimeout(ctx, settleTimeout)
 	defer cancel()
 	if _, err := e.platform.Put(ctx, leaseKey(id), leaseRecord{Holder: e.id, Journals: []string{e.journal.Name()}, Ended: true}, ver); err != nil {
-		e.log.Warn("end of program not marked", "program", id, "err", err)
+		e.log.Warn("lease of ended program not marked; its records stay in the journal", "program", id, "err", err)
 		return
 	}
 	e.journal.Release(id)
 }
 
-// releasePause spaces the writes of ReleaseLeases, so that a stopping
-// instance with many programs leaves the table service room for others.
-const releasePause = 2 * time.Millisecond
+// releaseInterval is the delay between the writes of ReleaseLeases, so that a
+// stopping instance with many programs does not use up the write capacity of
+// the table service.
+const releaseInterval = 2 * time.Millisecond
 
-// ReleaseLeases gives up the leases of this instance's programs, so that
-// other instances adopt them at once instead of waiting for the leases to
-// lapse. A planned stop calls it last, when no call is in flight. It stops
-// at the first failure or when ctx ends: what is left lapses by itself.
+// ReleaseLeases releases the leases of this instance's running programs, so
+// that other instances can adopt them at once instead of waiting for the
+// leases to expire. A planned stop calls it last, when no call is in flight.
+// It stops at the first failure or when ctx ends; the remaining leases expire
+// by themselves.
 func (e *Entry) ReleaseLeases(ctx context.Context) {
 	e.mu.Lock()
-	all := make(map[program.ID]*owned, len(e.programs))
+	all := make(map[program.ID]*ownedProgram, len(e.programs))
 	for id, o := range e.programs {
 		all[id] = o
 	}
@@ -76,18 +81,18 @@
 	for id, o := range all {
 		o.mu.Lock()
 		ver, idle := o.leaseVer, o.cancel == nil && o.pending == nil && o.prog.State() == program.StateRunning
-		free := leaseRecord{Holder: e.id, Journals: []string{e.journal.Name()}, New: o.unlogged()}
+		free := leaseRecord{Holder: e.id, Journals: []string{e.journal.Name()}, New: o.unloggedCreation()}
 		o.mu.Unlock()
 		if !idle {
 			continue
 		}
 		if _, err := e.platform.Put(ctx, leaseKey(id), free, ver); err != nil && !tableservice.Is(err, tableservice.FailureConflict) {
-			e.log.Warn("leases not released", "released", released, "of", len(all), "err", err)
+			e.log.Warn("leases not released; the remaining ones expire by themselves", "released", released, "of", len(all), "err", err)
 			return
 		}
-		e.depose(id, o)
+		e.dropOwned(id, o)
 		released++
-		time.Sleep(releasePause)
+		time.Sleep(releaseInterval)
 	}
 	e.log.Info("leases released", "released", released)
 }
--- a/entry/maintenance.go
+++ b/entry/maintenance.go
@@ -9,55 +9,58 @@
 )
 
 const (
-	tidyPeriod = time.Second
-	// endedFor is how long an ended program stays in memory, so that late
-	// callers get "program ended" without a read of the store.
-	endedFor = time.Minute
+	// maintenanceInterval is the interval at which Tidy runs.
+	maintenanceInterval = time.Second
+	// endedRetention is how long an ended program stays in memory, so that
+	// later calls are refused as "program has ended" without a read from the
+	// store.
+	endedRetention = time.Minute
 )
 
-// Tidy keeps this instance's memory and journal small until ctx ends, then
-// reports on done.
+// Tidy periodically drops ended programs from memory and rewrites old journal
+// records, until ctx ends; then it reports on done.
 func (e *Entry) Tidy(ctx context.Context, done chan<- error) {
-	clock.Every(ctx, tidyPeriod, func(time.Time) {
-		e.forgetEnded()
-		e.catchUp(ctx)
+	clock.Every(ctx, maintenanceInterval, func(time.Time) {
+		e.dropEnded()
+		e.rewriteLagging(ctx)
 	}, done)
 }
 
-// forgetEnded drops ended programs from memory once endedFor has passed;
-// without it an entry's memory would grow with every program it ever ran.
-func (e *Entry) forgetEnded() {
-	cutoff := e.clock.Now().Add(-endedFor)
+// dropEnded drops programs that ended more than endedRetention ago from
+// memory, which would otherwise grow with every program that the instance has
+// run.
+func (e *Entry) dropEnded() {
+	cutoff := e.clock.Now().Add(-endedRetention)
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	for id, o := range e.programs {
 		o.mu.Lock()
-		gone := o.prog.State() == program.StateEnded && o.endedAt.Before(cutoff) && o.pending == nil
+		expired := o.prog.State() == program.StateEnded && o.endedAt.Before(cutoff) && o.pending == nil
 		o.mu.Unlock()
-		if gone {
+		if expired {
 			delete(e.programs, id)
 		}
 	}
 }
 
-// catchUp writes whole records of programs that have been quiet for so long
-// that their last ones lie far back in the journal: they would keep all
-// batches since from being dropped, and a successor would have to read
-// them.
-func (e *Entry) catchUp(ctx context.Context) {
+// rewriteLagging writes full records of programs that have been idle for so
+// long that their last records lie far back in the journal. Those records
+// would keep all later batches from being dropped, and a new owner would have
+// to read them.
+func (e *Entry) rewriteLagging(ctx context.Context) {
 	for _, id := range e.journal.Lagging() {
-		o, ok := e.lookup(id)
+		o, ok := e.lookupOwned(id)
 		if !ok {
 			e.journal.Release(id)
 			continue
 		}
 		o.mu.Lock()
-		e.stageWhole(o)
+		e.stageFull(o)
 		o.mu.Unlock()
-		// Waited for, so that a planned stop does not take a record long
-		// durable for a turn still on its way.
+		// Wait for the record, so that a planned stop does not take it for
+		// the record of a turn that is not yet durable.
 		if err := e.persist(ctx, o); err != nil {
-			return // the store is down; the rest can wait for it
+			return // the store is unavailable; the remaining programs are retried later
 		}
 	}
 }
--- a/entry/owned.go
+++ b/entry/owned.go
@@ -12,70 +12,75 @@
 	"github.com/wagtaildrum/wagtaildrum/program"
 )
 
-// owned is a program this instance owns, with the lock that serialises
-// its calls and the cancel function of the call in flight.
-type owned struct {
+// ownedProgram is a program that this instance owns. mu guards its fields;
+// cancel cancels the call in flight, if there is one.
+type ownedProgram struct {
 	mu     sync.Mutex
 	prog   *program.Program
 	cancel context.CancelFunc
 	last   *lastAnswer
-	// log, epoch and pending are the program's durable log: the epoch this
-	// owner writes under, and the record not yet known to be durable.
+	// log and epoch identify the program's durable log and the epoch under
+	// which this owner writes it; pending is the staged record not yet known
+	// to be durable, or nil.
 	log     program.Log
 	epoch   uint64
 	pending *journal.Pending
-	// restage: the program changed while a record was pending, and needs
-	// another.
+	// restage is set if the program has changed while a record was pending,
+	// so that another record must be staged.
 	restage bool
-	// leaseVer and leaseExpires are the lease record's version (the
-	// fencing token) and end as this instance last wrote them.
+	// leaseVer is the version of the lease record, which is the fencing
+	// token, and leaseExpires the end of the lease, both as last written by
+	// this instance.
 	leaseVer     uint64
 	leaseExpires time.Time
 	endedAt      time.Time
-	// promptBlocks is the depth of the latest model call's prompt, in cache
-	// blocks.
+	// promptBlocks is the depth, in cache blocks, of the prompt of the latest
+	// model call.
 	promptBlocks int
 }
 
-// fence returns the fencing token to send with the program's calls.
-func (o *owned) fence() uint64 {
+// fence returns the fencing token of the program.
+func (o *ownedProgram) fence() uint64 {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return o.prog.Fence()
 }
 
-// unlogged returns what the program was created with if no record of it is
-// known to be durable yet, else nil. The caller holds o.mu.
-func (o *owned) unlogged() *newProgram {
+// unloggedCreation returns the program's creation parameters as long as no
+// record of it is known to be durable, and nil afterwards. The caller must
+// hold o.mu.
+func (o *ownedProgram) unloggedCreation() *newProgram {
 	if o.log.Started() {
 		return nil
 	}
 	return &newProgram{Spec: o.prog.Spec(), Created: o.prog.Created()}
 }
 
-// passed reports whether the program is past call seq.
-func (o *owned) passed(seq uint64) bool {
+// isPast reports whether call seq precedes the next call of the program.
+func (o *ownedProgram) isPast(seq uint64) bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return seq < o.prog.NextSequence()
 }
 
-// lastAnswer keeps the answer of a program's latest call, so a caller who
-// lost it and sends the same sequence again gets it again instead of a
-// second run.
+// lastAnswer holds the answer to a program's latest call. A caller that did
+// not receive it and sends the same sequence number again gets the stored
+// answer instead of a second run.
 type lastAnswer struct {
 	seq    uint64
 	answer caller.Answer
 }
 
-func (e *Entry) lookup(id program.ID) (*owned, bool) {
+// lookupOwned returns the program if this instance owns it.
+func (e *Entry) lookupOwned(id program.ID) (*ownedProgram, bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	o, ok := e.programs[id]
 	return o, ok
 }
 
-func (e *Entry) keep(id program.ID, o *owned) {
+// addOwned records the program as owned by this instance.
+func (e *Entry) addOwned(id program.ID, o *ownedProgram) {
 	e.mu.Lock()
 	e.programs[id] = o
 	n := len(e.programs)
@@ -83,9 +88,10 @@
 	e.metrics.programs.Update(float64(n))
 }
 
-// depose forgets a program whose lease another instance took, and cancels
-// its call in flight: its answer may not leave this instance any more.
-func (e *Entry) depose(id program.ID, o *owned) {
+// dropOwned removes a program whose lease this instance no longer holds,
+// releases its journal records and cancels its call in flight, whose answer
+// must not be sent by this instance any more.
+func (e *Entry) dropOwned(id program.ID, o *ownedProgram) {
 	e.mu.Lock()
 	if e.programs[id] == o {
 		delete(e.programs, id)
@@ -100,15 +106,15 @@
 	}
 }
 
-// owner returns the program's owned state with a lease that has not
-// lapsed, adopting the program if this instance does not hold it. It fails
-// with a *LeaseError if another instance does.
-func (e *Entry) owner(ctx context.Context, id program.ID) (*owned, error) {
-	o, ok := e.lookup(id)
+// ensureOwned returns the program after it has checked, and if necessary
+// renewed, its lease. A program that this instance does not own is adopted.
+// It fails with a *LeaseError if another instance owns the program.
+func (e *Entry) ensureOwned(ctx context.Context, id program.ID) (*ownedProgram, error) {
+	o, ok := e.lookupOwned(id)
 	if !ok {
 		return e.adopt(ctx, id)
 	}
-	err := e.holdLease(ctx, o)
+	err := e.ensureLease(ctx, o)
 	var lost *LeaseError
 	if errors.As(err, &lost) {
 		return e.adopt(ctx, id)
@@ -116,21 +122,22 @@
 	return o, err
 }
 
-// withOwner serves a request for the program idOf names at its owner: here,
-// if this instance owns it or can adopt it, otherwise by forwarding it to
-// the instance that holds the lease. Callers come through a balancer and
-// reach any instance.
-func (e *Entry) withOwner(idOf func(*http.Request) program.ID, next func(http.ResponseWriter, *http.Request, *owned)) http.HandlerFunc {
+// withOwner returns a handler that serves a request at the owner of the
+// program with the ID returned by idOf. If this instance owns the program or
+// can adopt it, next serves the request; otherwise the request is forwarded
+// to the instance that holds the lease. Callers connect through a load
+// balancer and reach any instance.
+func (e *Entry) withOwner(idOf func(*http.Request) program.ID, next func(http.ResponseWriter, *http.Request, *ownedProgram)) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		id := idOf(r)
-		if address, ok := e.holders.get(id); ok && !forwarded(r) {
+		if address, ok := e.holderCache.get(id); ok && !forwarded(r) {
 			e.forward(w, r, id, address)
 			return
 		}
-		o, err := e.owner(r.Context(), id)
+		o, err := e.ensureOwned(r.Context(), id)
 		var held *LeaseError
 		if errors.As(err, &held) && held.address != "" && !forwarded(r) {
-			e.holders.put(id, held.address, held.expires)
+			e.holderCache.put(id, held.address, held.expires)
 			e.forward(w, r, id, held.address)
 			return
 		}
@@ -142,6 +149,8 @@
 	}
 }
 
+// pathID returns the program ID in the URL path of r.
 func pathID(r *http.Request) program.ID { return program.ID(r.PathValue("id")) }
 
+// headerID returns the program ID in the header of r, or "" if there is none.
 func headerID(r *http.Request) program.ID { return program.ID(r.Header.Get(caller.ProgramHeader)) }
--- a/entry/programs.go
+++ b/entry/programs.go
@@ -11,30 +11,35 @@
 	"github.com/wagtaildrum/wagtaildrum/retry"
 )
 
-// maxBody bounds a request's body: a history of 250,000 tokens and room to
-// spare.
+// maxBody bounds the size of a request's body. It leaves a margin over a
+// history of 250,000 tokens.
 const maxBody = 8 << 20
 
-// retryAfterUnavailable is when a caller refused because the platform is
-// down should come back.
+// retryAfterUnavailable is the minimum Retry-After sent when the platform is
+// unavailable.
 const retryAfterUnavailable = 500 * time.Millisecond
 
+// decodeBody decodes the JSON body of r into v. It fails if the body is
+// invalid, exceeds maxBody or has unknown fields.
 func decodeBody(r *http.Request, v any) *caller.Error {
 	dec := json.NewDecoder(http.MaxBytesReader(nil, r.Body, maxBody))
 	dec.DisallowUnknownFields()
 	if err := dec.Decode(v); err != nil {
-		return caller.NewError(http.StatusBadRequest, caller.TypeInvalidRequest, "body: %v", err)
+		return caller.NewError(http.StatusBadRequest, caller.TypeInvalidRequest, "invalid body: %v", err)
 	}
 	return nil
 }
 
+// writeJSON writes a response with v as its JSON body.
 func writeJSON(w http.ResponseWriter, status int, v any) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
 	_ = json.NewEncoder(w).Encode(v)
 }
 
-// apiError turns a core or lease error into the caller's error.
+// apiError returns the caller's error for err: a *caller.Error itself, or the
+// mapping of an error of the program package or of this package. Any other
+// error is reported as an unavailable platform.
 func apiError(err error) *caller.Error {
 	var ce *caller.Error
 	if errors.As(err, &ce) {
@@ -61,7 +66,7 @@
 	}
 	var nd *NotDurableError
 	if errors.As(err, &nd) {
-		return caller.NewError(http.StatusBadGateway, caller.TypeNotDurable, "%s; send the same sequence again", nd.Error()).RetryAfter(comeBack())
+		return caller.NewError(http.StatusBadGateway, caller.TypeNotDurable, "%s; send the same sequence number again", nd.Error()).RetryAfter(unavailableRetryAfter())
 	}
 	var ee *ExistsError
 	if errors.As(err, &ee) {
@@ -71,20 +76,24 @@
 	if errors.As(err, &le) {
 		return caller.NewError(http.StatusServiceUnavailable, caller.TypeUnavailable, "not run: %s", le.Error()).RetryAfter(time.Second)
 	}
-	return caller.NewError(http.StatusServiceUnavailable, caller.TypeUnavailable, "platform: %v", err).RetryAfter(comeBack())
+	return caller.NewError(http.StatusServiceUnavailable, caller.TypeUnavailable, "platform operation failed: %v", err).RetryAfter(unavailableRetryAfter())
 }
 
-// comeBack is retryAfterUnavailable, a little later for some than for others
-// so that they do not all come back together.
-func comeBack() time.Duration { return retryAfterUnavailable + retry.Jitter(retryAfterUnavailable) }
+// unavailableRetryAfter returns retryAfterUnavailable with random jitter of
+// up to the same duration, so that callers refused together do not retry
+// together.
+func unavailableRetryAfter() time.Duration {
+	return retryAfterUnavailable + retry.Jitter(retryAfterUnavailable)
+}
 
+// createProgram serves POST /v1/programs.
 func (e *Entry) createProgram(w http.ResponseWriter, r *http.Request) {
 	var req caller.CreateProgram
 	if cerr := decodeBody(r, &req); cerr != nil {
 		cerr.Write(w)
 		return
 	}
-	spec, cerr := specOf(&req)
+	spec, cerr := specFromRequest(&req)
 	if cerr != nil {
 		cerr.Write(w)
 		return
@@ -93,9 +102,9 @@
 		apiError(err).Write(w)
 		return
 	}
-	unlock := e.adopting.lock(string(spec.ID))
+	unlock := e.programLocks.lock(string(spec.ID))
 	defer unlock()
-	if _, ok := e.lookup(spec.ID); ok {
+	if _, ok := e.lookupOwned(spec.ID); ok {
 		apiError(&ExistsError{program: spec.ID}).Write(w)
 		return
 	}
@@ -110,57 +119,63 @@
 		apiError(err).Write(w)
 		return
 	}
-	o := &owned{prog: p, epoch: lease.version, leaseVer: lease.version, leaseExpires: lease.expires}
-	e.keep(spec.ID, o)
+	o := &ownedProgram{prog: p, epoch: lease.version, leaseVer: lease.version, leaseExpires: lease.expires}
+	e.addOwned(spec.ID, o)
 	e.log.Info("program created", "program", spec.ID, "urgency", spec.Urgency, "budget", spec.BudgetTokens, "fence", lease.version)
-	writeJSON(w, http.StatusCreated, e.stateOf(o))
+	writeJSON(w, http.StatusCreated, e.programState(o))
 }
 
-func specOf(req *caller.CreateProgram) (program.Spec, *caller.Error) {
+// specFromRequest returns the Spec that req describes. It fails if the
+// urgency or the deadline is invalid.
+func specFromRequest(req *caller.CreateProgram) (program.Spec, *caller.Error) {
 	urgency, err := program.ParseUrgency(req.Urgency)
 	if err != nil {
-		return program.Spec{}, caller.NewError(http.StatusBadRequest, caller.TypeInvalidRequest, "urgency: %v", err)
+		return program.Spec{}, caller.NewError(http.StatusBadRequest, caller.TypeInvalidRequest, "invalid urgency: %v", err)
 	}
 	var deadline time.Duration
 	if req.Deadline != "" {
 		deadline, err = time.ParseDuration(req.Deadline)
 		if err != nil {
-			return program.Spec{}, caller.NewError(http.StatusBadRequest, caller.TypeInvalidRequest, "deadline: %v", err)
+			return program.Spec{}, caller.NewError(http.StatusBadRequest, caller.TypeInvalidRequest, "invalid deadline: %v", err)
 		}
 	}
 	return program.Spec{ID: program.ID(req.ID), BudgetTokens: req.BudgetTokens, Urgency: urgency,
 		Deadline: deadline, NonIdempotentTools: req.NonIdempotentTools}, nil
 }
 
-func (e *Entry) stateOf(o *owned) caller.ProgramState {
+// programState returns the program's state in the form of the HTTP API. The
+// caller must hold o.mu, unless no other goroutine can reach o yet.
+func (e *Entry) programState(o *ownedProgram) caller.ProgramState {
 	p := o.prog
 	return caller.ProgramState{ID: string(p.ID()), State: p.State().String(), Urgency: p.Spec().Urgency.String(),
 		NextSequence: p.NextSequence(), BudgetTokens: p.Spec().BudgetTokens, SpentTokens: p.Spent(),
 		HistoryTurns: len(p.History()), Owner: e.id, Fence: p.Fence()}
 }
 
-func (e *Entry) getProgram(w http.ResponseWriter, _ *http.Request, o *owned) {
+// getProgram serves GET /v1/programs/{id}.
+func (e *Entry) getProgram(w http.ResponseWriter, _ *http.Request, o *ownedProgram) {
 	o.mu.Lock()
-	st := e.stateOf(o)
+	st := e.programState(o)
 	o.mu.Unlock()
 	writeJSON(w, http.StatusOK, st)
 }
 
-// endProgram ends a program: its call in flight, if any, is cancelled,
-// which cancels the engine's stream through the sidecar, so no engine
-// memory stays held by it. The end is durable before it is answered, so no
-// later owner takes the program up again.
-func (e *Entry) endProgram(w http.ResponseWriter, r *http.Request, o *owned) {
+// endProgram serves DELETE /v1/programs/{id}: it ends the program. The call
+// in flight, if there is one, is cancelled, and the sidecar cancels the
+// engine's stream, which frees the memory held at the engine. The response is
+// sent only after the end is durable, so that no later owner resumes the
+// program.
+func (e *Entry) endProgram(w http.ResponseWriter, r *http.Request, o *ownedProgram) {
 	o.mu.Lock()
 	o.prog.End()
 	o.endedAt = e.clock.Now()
 	cancel := o.cancel
-	st := e.stateOf(o)
+	st := e.programState(o)
 	o.mu.Unlock()
 	if cancel != nil {
 		cancel()
 	}
-	err := e.persist(r.Context(), o) // a turn still pending
+	err := e.persist(r.Context(), o) // a turn may still be pending
 	if err == nil {
 		o.mu.Lock()
 		e.stageTurn(o)
@@ -171,7 +186,7 @@
 		apiError(err).Write(w)
 		return
 	}
-	e.markEnded(o)
+	e.queueEndedLease(o)
 	e.log.Info("program ended", "program", st.ID, "spent", st.SpentTokens)
 	writeJSON(w, http.StatusOK, st)
 }
--- a/entry/toolcall.go
+++ b/entry/toolcall.go
@@ -14,41 +14,46 @@
 	"github.com/wagtaildrum/wagtaildrum/tableservice"
 )
 
-// settleFor bounds the write of a non-idempotent call's outcome.
-const settleFor = 2 * time.Second
+// settleTimeout bounds the write of a non-idempotent call's outcome, and the
+// write that marks a lease as ended.
+const settleTimeout = 2 * time.Second
 
-func noCost([]program.Message) int64 { return 0 }
+// zeroCost is the cost function of tool calls, which reserve no tokens.
+func zeroCost([]program.Message) int64 { return 0 }
 
-func (e *Entry) runToolCall(ctx context.Context, o *owned, req *caller.Call) (*caller.Answer, error) {
+// runToolCall runs a tool call of the program and returns its answer, or the
+// stored answer if the call has already run.
+func (e *Entry) runToolCall(ctx context.Context, o *ownedProgram, req *caller.Call) (*caller.Answer, error) {
 	if req.Tool == "" {
-		return nil, caller.NewError(http.StatusBadRequest, caller.TypeInvalidRequest, "a tool call needs tool")
+		return nil, caller.NewError(http.StatusBadRequest, caller.TypeInvalidRequest, "a tool call requires tool")
 	}
 	nonIdempotent := o.prog.IsNonIdempotent(req.Tool)
 	ctx, cancel := e.callContext(ctx, o.prog)
 	defer cancel()
-	replay, _, err := e.begin(ctx, o, req.Sequence, cancel, noCost)
-	if nonIdempotent && isReason(err, program.ReasonOutOfOrder) && o.passed(req.Sequence) {
-		// Perhaps a retry of a call that already ran, here or at an owner
-		// that has since died: answer from the intent record, never run.
+	replay, _, err := e.begin(ctx, o, req.Sequence, cancel, zeroCost)
+	if nonIdempotent && hasReason(err, program.ReasonOutOfOrder) && o.isPast(req.Sequence) {
+		// This may be a retry of a call that has already run, here or at a
+		// previous owner. Answer it from the intent record and never run it.
 		return e.replayIntent(ctx, o.prog.ID(), req, err)
 	}
 	if replay != nil || err != nil {
 		return replay, err
 	}
 	if nonIdempotent {
-		return e.runOnce(ctx, o, req)
+		return e.runAtMostOnce(ctx, o, req)
 	}
-	result, res := e.sendTool(ctx, o, req)
+	result, res := e.dispatchTool(ctx, o, req)
 	if res.outcome != outcomeDone {
 		e.abort(ctx, o, req.Sequence, 0)
-		return nil, failure(res)
+		return nil, dispatchError(res)
 	}
 	return e.finishTool(ctx, o, toolAnswer(o, req, result, res.endpoint))
 }
 
-// runOnce runs a non-idempotent call at most once: its intent is durable
-// before it is sent, and whoever finds the intent later never sends it.
-func (e *Entry) runOnce(ctx context.Context, o *owned, req *caller.Call) (*caller.Answer, error) {
+// runAtMostOnce runs a non-idempotent call at most once: its intent record is
+// durable before the call is sent, and any later attempt that finds the
+// record does not send the call.
+func (e *Entry) runAtMostOnce(ctx context.Context, o *ownedProgram, req *caller.Call) (*caller.Answer, error) {
 	id := o.prog.ID()
 	claimant := fmt.Sprintf("%s/%d/%d", e.id, o.fence(), e.clock.Now().UnixNano())
 	intent, err := e.claimIntent(ctx, id, req.Sequence, claimant)
@@ -59,12 +64,12 @@
 	if intent.existing != nil {
 		return e.answerFromIntent(ctx, o, req, intent.existing)
 	}
-	result, res := e.sendTool(ctx, o, req)
-	// The record of the outcome and that of the turn are written at once;
+	result, res := e.dispatchTool(ctx, o, req)
+	// The records of the outcome and of the turn are written concurrently;
 	// the answer waits for both.
 	settled := make(chan struct{})
 	go func() {
-		e.settleIntentAfter(ctx, id, req.Sequence, intent.version, res, result)
+		e.settleIntentForOutcome(ctx, id, req.Sequence, intent.version, res, result)
 		close(settled)
 	}()
 	defer func() { <-settled }()
@@ -72,19 +77,21 @@
 	case outcomeDone:
 		return e.finishTool(ctx, o, toolAnswer(o, req, result, res.endpoint))
 	case outcomeUnknown:
-		// Sent and cut off: it may have run. Its intent stays, so the same
-		// sequence is never sent again.
+		// The call was sent and the connection failed, so it may have run.
+		// Its intent record remains, so the call is never sent again.
 		e.abort(ctx, o, req.Sequence, 0)
-		return nil, caller.NewError(http.StatusBadGateway, caller.TypeOutcomeUnknown, "%s may have run on %s; it will not be run again: %v", req.Tool, res.endpoint, res.err)
+		return nil, caller.NewError(http.StatusBadGateway, caller.TypeOutcomeUnknown, "the call of %s may have run at endpoint %s; it will not be run again: %v", req.Tool, res.endpoint, res.err)
 	}
 	e.abort(ctx, o, req.Sequence, 0)
-	return nil, failure(res)
+	return nil, dispatchError(res)
 }
 
-func (e *Entry) sendTool(ctx context.Context, o *owned, req *caller.Call) ([]byte, dispatchResult) {
-	call := &peer.Call{Sequence: req.Sequence, Kind: peer.KindTool, Tool: req.Tool, Body: rawOr(req.Arguments, "{}"),
+// dispatchTool dispatches a tool call and returns its response and the result
+// of the dispatch.
+func (e *Entry) dispatchTool(ctx context.Context, o *ownedProgram, req *caller.Call) ([]byte, dispatchResult) {
+	call := &peer.Call{Sequence: req.Sequence, Kind: peer.KindTool, Tool: req.Tool, Body: argumentsOr(req.Arguments, "{}"),
 		IdempotencyKey: fmt.Sprintf("%s/%d", o.prog.ID(), req.Sequence)}
-	o.describe(call)
+	o.fillCall(call)
 	if dl, ok := ctx.Deadline(); ok {
 		call.Deadline = dl.UnixMilli()
 	}
@@ -94,21 +101,26 @@
 	return result, res
 }
 
-// toolResult is a tool call's answer as it is assembled.
+// toolResult accumulates the response to a tool call. It implements
+// responseSink.
 type toolResult []byte
 
-func (t *toolResult) data(piece []byte) error {
+// write implements responseSink.
+func (t *toolResult) write(piece []byte) error {
 	*t = append(*t, piece...)
 	return nil
 }
 
-func (t *toolResult) cached() int { return 0 }
+// cachedTokens implements responseSink; a tool has no prefix cache.
+func (t *toolResult) cachedTokens() int { return 0 }
 
-func toolAnswer(o *owned, req *caller.Call, result []byte, endpoint string) caller.Answer {
+// toolAnswer returns the answer to the tool call req with the given result.
+func toolAnswer(o *ownedProgram, req *caller.Call, result []byte, endpoint string) caller.Answer {
 	return caller.Answer{Program: string(o.prog.ID()), Sequence: req.Sequence, Kind: caller.CallTool, Tool: req.Tool, Result: result, Endpoint: endpoint}
 }
 
-func (e *Entry) finishTool(ctx context.Context, o *owned, ans caller.Answer) (*caller.Answer, error) {
+// finishTool settles a tool call and returns ans once its turn is durable.
+func (e *Entry) finishTool(ctx context.Context, o *ownedProgram, ans caller.Answer) (*caller.Answer, error) {
 	turn := program.Message{Role: "tool", Content: ans.Tool + ": " + string(ans.Result)}
 	if err := e.finish(ctx, o, ans, 0, turn); err != nil {
 		return nil, err
@@ -116,10 +128,12 @@
 	return &ans, nil
 }
 
-func (e *Entry) settleIntentAfter(ctx context.Context, id program.ID, seq, version uint64, res dispatchResult, result []byte) {
-	// The caller's context may have ended; the record must still be
-	// written, so it gets a context of its own.
-	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), settleFor)
+// settleIntentForOutcome records the outcome of a dispatched call in its
+// intent record. After an unknown outcome the record stays in state
+// dispatched.
+func (e *Entry) settleIntentForOutcome(ctx context.Context, id program.ID, seq, version uint64, res dispatchResult, result []byte) {
+	// The record must be written even if the caller's context has ended.
+	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), settleTimeout)
 	defer cancel()
 	switch res.outcome {
 	case outcomeDone:
@@ -129,9 +143,10 @@
 	}
 }
 
-// replayIntent answers a non-idempotent call behind the program's
-// sequence from its intent record: its result if it finished, otherwise
-// outcome_unknown; without a record, the order error stands.
+// replayIntent answers a non-idempotent call that precedes the program's next
+// one from its intent record: with the recorded result if the call completed,
+// otherwise with outcome_unknown. Without a record, or if the call was
+// refused, it returns orderErr.
 func (e *Entry) replayIntent(ctx context.Context, id program.ID, req *caller.Call, orderErr error) (*caller.Answer, error) {
 	rec, err := e.platform.Get(ctx, intentKey(id, req.Sequence))
 	if tableservice.Is(err, tableservice.FailureNotFound) {
@@ -153,10 +168,10 @@
 	return &caller.Answer{Program: string(id), Sequence: req.Sequence, Kind: caller.CallTool, Tool: req.Tool, Result: found.Result, Endpoint: found.Endpoint, Replayed: true}, nil
 }
 
-// answerFromIntent answers a non-idempotent call that an earlier attempt
-// already claimed: with its recorded result if it finished, otherwise with
-// outcome_unknown. It is never sent again.
-func (e *Entry) answerFromIntent(ctx context.Context, o *owned, req *caller.Call, rec *intentRecord) (*caller.Answer, error) {
+// answerFromIntent answers a non-idempotent call that an earlier attempt has
+// claimed: with the recorded result if the call completed, otherwise with
+// outcome_unknown. The call is not sent again.
+func (e *Entry) answerFromIntent(ctx context.Context, o *ownedProgram, req *caller.Call, rec *intentRecord) (*caller.Answer, error) {
 	if rec.State != intentDone {
 		e.abort(ctx, o, req.Sequence, 0)
 		return nil, unknownOutcome(req, rec)
@@ -166,6 +181,8 @@
 	return e.finishTool(ctx, o, ans)
 }
 
+// unknownOutcome returns the caller's error for a call that was sent before
+// and whose outcome is not recorded.
 func unknownOutcome(req *caller.Call, rec *intentRecord) error {
-	return caller.NewError(http.StatusConflict, caller.TypeOutcomeUnknown, "%s call %d was already sent (%s); it will not be run again", req.Tool, req.Sequence, rec.State)
+	return caller.NewError(http.StatusConflict, caller.TypeOutcomeUnknown, "the call of %s with sequence number %d has already been sent (state %s); it will not be run again", req.Tool, req.Sequence, rec.State)
 }
--- a/entry/watch.go
+++ b/entry/watch.go
@@ -9,11 +9,12 @@
 	"github.com/wagtaildrum/wagtaildrum/tableservice"
 )
 
-// WatchConfig reads the configuration from the platform now and then every
-// poll period until ctx ends, then reports on done. A version lower than
-// or equal to the one held is ignored, so a stale read (a lagging replica
-// of the table service, a delayed answer) never reverts an accepted
-// configuration. While the platform is down the last version stays.
+// WatchConfig reads the configuration from the platform at once and then at
+// every poll interval until ctx ends, then sends nil on done. A version not
+// higher than the current one is ignored, so that a stale read, from a
+// lagging replica of the table service or by a delayed response, never
+// reverts an applied configuration. While the platform is unavailable the
+// last version stays in use.
 func (e *Entry) WatchConfig(ctx context.Context, done chan<- error) {
 	ticker := time.NewTicker(e.configPoll)
 	defer ticker.Stop()
@@ -28,40 +29,44 @@
 	}
 }
 
-// mostDeltas is how many versions a watcher follows by deltas; further
-// behind, it reads the whole.
-const mostDeltas = 64
+// maxDeltas is the largest number of versions that are followed by deltas. An
+// instance further behind reads the complete configuration.
+const maxDeltas = 64
 
+// refreshConfig reads and applies the newest configuration. A failed read is
+// logged, and the current configuration stays in use.
 func (e *Entry) refreshConfig(ctx context.Context) {
-	cfg, err := e.newerConfig(ctx)
+	cfg, err := e.fetchNewerConfig(ctx)
 	if err != nil {
 		if !tableservice.Is(err, tableservice.FailureNotFound) {
-			e.log.Warn("config read failed", "err", err)
+			e.log.Warn("configuration not read; the current version stays in use", "err", err)
 		}
 		return
 	}
 	if cfg != nil && e.applyConfig(cfg) {
-		e.log.Info("config applied", "version", cfg.Version, "endpoints", len(cfg.Endpoints))
+		e.log.Info("configuration applied", "version", cfg.Version, "endpoints", len(cfg.Endpoints))
 	}
 }
 
-// newerConfig returns the newest configuration, or nil if it is the one
-// held. It reads the head, and then only the deltas it lacks.
-func (e *Entry) newerConfig(ctx context.Context) (*config.Config, error) {
+// fetchNewerConfig returns the newest configuration, or nil if that is the
+// current one. It reads the head, and then only the deltas that are missing
+// here.
+func (e *Entry) fetchNewerConfig(ctx context.Context) (*config.Config, error) {
 	held := e.config.Load()
 	head, err := e.platform.Get(ctx, config.HeadKey)
 	if err != nil || head.Version <= held.Version {
 		return nil, err
 	}
-	if held.Version == 0 || head.Version-held.Version > mostDeltas {
+	if held.Version == 0 || head.Version-held.Version > maxDeltas {
 		return ReadConfig(ctx, e.platform)
 	}
 	cfg := held
 	for version := held.Version + 1; version <= head.Version; version++ {
-		next, err := e.followDelta(ctx, cfg, version)
+		next, err := e.applyDelta(ctx, cfg, version)
 		if err != nil {
-			// Missing or foreign: the whole is always right.
-			e.log.Info("config delta not usable", "version", version, "err", err)
+			// A delta may be missing or may not apply; the complete
+			// configuration is always valid.
+			e.log.Info("configuration delta not applied; reading the complete configuration", "version", version, "err", err)
 			return ReadConfig(ctx, e.platform)
 		}
 		cfg = next
@@ -69,7 +74,8 @@
 	return cfg, nil
 }
 
-func (e *Entry) followDelta(ctx context.Context, cfg *config.Config, version uint64) (*config.Config, error) {
+// applyDelta returns cfg with the delta of the given version applied.
+func (e *Entry) applyDelta(ctx context.Context, cfg *config.Config, version uint64) (*config.Config, error) {
 	rec, err := e.platform.Get(ctx, config.DeltaKey(version))
 	if err != nil {
 		return nil, err
@@ -81,9 +87,10 @@
 	return cfg.With(&d)
 }
 
-// applyConfig installs cfg if it is newer than the one held. Versions are
-// compared and installed under one lock, so an older one never lands, here
-// or in the router, after a newer.
+// applyConfig installs cfg and reports whether it did; a cfg that is not
+// newer than the current one is ignored. Versions are compared and installed
+// under one lock, so that an older version never replaces a newer one,
+// neither here nor in the router.
 func (e *Entry) applyConfig(cfg *config.Config) bool {
 	e.configMu.Lock()
 	defer e.configMu.Unlock()
@@ -95,7 +102,8 @@
 	return true
 }
 
-// ReadConfig reads and decodes the configuration record.
+// ReadConfig reads and decodes the complete configuration. Its version is
+// that of the record.
 func ReadConfig(ctx context.Context, pc *tableservice.Client) (*config.Config, error) {
 	rec, err := pc.Get(ctx, config.Key)
 	if err != nil {
--- a/entry/watch_test.go
+++ b/entry/watch_test.go
@@ -14,12 +14,10 @@
 	"github.com/wagtaildrum/wagtaildrum/settings"
 )
 
-// TestStaleConfigNeverApplied: an accepted configuration never reverts.
-//
-// Symptom: an endpoint put out of service comes back into routing.
-// Sequence: the watcher holds version 5; a delayed or stale read returns
-// version 3.
-// Cause: a watcher that installs whatever it last read.
+// TestStaleConfigNeverApplied guards against an endpoint that is put out of
+// service and then returns to routing. The current configuration is version
+// 5, and a delayed or stale read returns version 3. The fault is a watcher
+// that installs whatever it has read last.
 func TestStaleConfigNeverApplied(t *testing.T) {
 	s := &settings.Entry{Common: settings.Common{InstanceID: "entry-1"}, Platform: "http://127.0.0.1:1",
 		LeaseTTL: time.Second, ConfigPoll: time.Second, CallTimeout: time.Second}
