--- a/entry/dispatch.go
+++ b/entry/dispatch.go
@@ -32,7 +32,8 @@
 
 // Retries, that is attempts after a call's first, are limited to retryShare
 // of all calls, so that they add little load to an overloaded system.
-// retryReserve is the number of retries allowed even with few calls.
+// retryReserve is the initial and the largest number of saved retries, which
+// lets a system with few calls retry at all.
 const (
 	retryShare   = 0.2
 	retryReserve = 20
--- a/routing/endpoint.go
+++ b/routing/endpoint.go
@@ -82,8 +82,8 @@
 	Sequence uint64
 	// Removed lists the blocks evicted from the endpoint's prefix cache since
 	// the report that the call named as the last one seen. Reset is set
-	// instead when the list is too long or the reports in between are
-	// unavailable: every block recorded for the endpoint is then invalid.
+	// instead if that report is too far back for a list or the sidecar has
+	// restarted: every block recorded for the endpoint is then invalid.
 	Removed []uint64
 	Reset   bool
 }
--- a/routing/router_test.go
+++ b/routing/router_test.go
@@ -62,20 +62,20 @@
 func TestTurnsRoutedToCachedHistory(t *testing.T) {
 	r, _ := newRouter(12)
 	first := pick(t, r, prompt(1, 100, 50))
-	home := first.Endpoint().Name
+	holder := first.Endpoint().Name
 	r.Done(first, idle)
 	for turn := 1; turn <= 5; turn++ {
 		c := pick(t, r, prompt(1, 100+20*turn, 50))
-		require.Equal(t, home, c.Endpoint().Name, "turn %d", turn)
+		require.Equal(t, holder, c.Endpoint().Name, "turn %d", turn)
 		r.Done(c, idle)
 	}
 	other := pick(t, r, prompt(2, 100, 50))
-	require.Equal(t, home, other.Endpoint().Name, "a new program is routed to the endpoint with the shared prefix")
+	require.Equal(t, holder, other.Endpoint().Name, "a new program is routed to the endpoint with the shared prefix")
 	r.Done(other, routing.Outcome{Ran: true, Report: &routing.Report{Limit: 12, Reset: true}})
 	// The reset covers what the endpoint held before the last call; the
 	// prompt of that call was recorded after it.
 	c := pick(t, r, prompt(2, 120, 50))
-	require.Equal(t, home, c.Endpoint().Name)
+	require.Equal(t, holder, c.Endpoint().Name)
 	r.Done(c, routing.Outcome{Report: &routing.Report{Limit: 12, Reset: true}})
 	require.Zero(t, r.View().Anchors, "a reset removes all anchors of the endpoint")
 }
@@ -93,11 +93,11 @@
 		got[pick(t, r, prompt(program, 210, 200)).Endpoint().Name]++
 	}
 	require.Greater(t, got[warm.Endpoint().Name], 12, "the holder of the prefix is used up to its limit: %v", got)
-	most := 0
+	maxCalls := 0
 	for _, n := range got {
-		most = max(most, n)
+		maxCalls = max(maxCalls, n)
 	}
-	require.LessOrEqual(t, most, 2*200/12+12, "no engine receives much more than an equal share: %v", got)
+	require.LessOrEqual(t, maxCalls, 2*200/12+12, "no engine receives much more than an equal share: %v", got)
 	require.Len(t, got, 12, "all engines share the burst")
 }
 
@@ -109,11 +109,11 @@
 func TestReportedLoadOfOtherInstancesCounts(t *testing.T) {
 	r, clk := newRouter(3)
 	c := pick(t, r, prompt(0, 100, 100))
-	home := c.Endpoint().Name
+	holder := c.Endpoint().Name
 	r.Done(c, routing.Outcome{Ran: true, Report: &routing.Report{Running: 12, Waiting: 48, Limit: 12}})
-	require.NotEqual(t, home, pick(t, r, prompt(1, 110, 100)).Endpoint().Name)
+	require.NotEqual(t, holder, pick(t, r, prompt(1, 110, 100)).Endpoint().Name)
 	clk.Advance(5 * time.Second)
-	require.Equal(t, home, pick(t, r, prompt(2, 110, 100)).Endpoint().Name)
+	require.Equal(t, holder, pick(t, r, prompt(2, 110, 100)).Endpoint().Name)
 }
 
 // TestReusedNameStartsWithEmptyCache guards against calls sent to an engine
@@ -124,22 +124,22 @@
 func TestReusedNameStartsWithEmptyCache(t *testing.T) {
 	r, _ := newRouter(2)
 	c := pick(t, r, prompt(0, 100, 100))
-	home := c.Endpoint().Name
+	holder := c.Endpoint().Name
 	r.Done(c, idle)
 	eps := fleet(2)
 	for i := range eps {
-		if eps[i].Name == home {
+		if eps[i].Name == holder {
 			eps[i].Sidecar = "10.0.1.1:9000"
 		}
 	}
 	r.Update(eps)
 	require.Zero(t, r.View().Anchors)
 	for i := range eps {
-		eps[i].Draining = eps[i].Name == home
+		eps[i].Draining = eps[i].Name == holder
 	}
 	r.Update(eps)
 	for program := range 20 {
-		require.NotEqual(t, home, pick(t, r, prompt(program, 100, 0)).Endpoint().Name)
+		require.NotEqual(t, holder, pick(t, r, prompt(program, 100, 0)).Endpoint().Name)
 	}
 }
 
@@ -148,9 +148,9 @@
 func TestLargeFleetFindsHolder(t *testing.T) {
 	r, _ := newRouter(1000)
 	c := pick(t, r, prompt(7, 300, 100))
-	home := c.Endpoint().Name
+	holder := c.Endpoint().Name
 	r.Done(c, idle)
-	require.Equal(t, home, pick(t, r, prompt(7, 320, 100)).Endpoint().Name)
+	require.Equal(t, holder, pick(t, r, prompt(7, 320, 100)).Endpoint().Name)
 	_, ok := r.Pick(prompt(7, 320, 100), func(string) bool { return true })
 	require.False(t, ok, "Pick returns false if all endpoints are skipped")
 }
