--- a/config/config_bench_test.go
+++ b/config/config_bench_test.go
@@ -7,7 +7,8 @@
 	"testing"
 )
 
-func sized(n int) *Config {
+// configWithEndpoints returns a configuration of n engines.
+func configWithEndpoints(n int) *Config {
 	c := &Config{Version: 1}
 	for i := range n {
 		c.Endpoints = append(c.Endpoints, Endpoint{Name: "engine-" + strconv.Itoa(i), Role: "engine",
@@ -17,12 +18,13 @@
 	return c
 }
 
-// BenchmarkConfigDecode measures the CPU to take in one configuration
-// change as a watcher does today (decode the whole record), and reports
-// the record's size, at three sizes: the slopes feed docs/CAPACITY.md.
+// BenchmarkConfigDecode measures the processor time of decoding a full
+// configuration record, which a watcher does when it starts or has missed too
+// many deltas, and reports the size of the record. docs/CAPACITY.md uses the
+// growth of both with the number of endpoints.
 func BenchmarkConfigDecode(b *testing.B) {
 	for _, n := range []int{100, 1000, 10000} {
-		raw, err := json.Marshal(sized(n))
+		raw, err := json.Marshal(configWithEndpoints(n))
 		if err != nil {
 			b.Fatal(err)
 		}
@@ -40,10 +42,11 @@
 	}
 }
 
-// BenchmarkMakePlan measures ctl's plan of a one-endpoint change.
+// BenchmarkMakePlan measures the time to plan the change of one endpoint, as the
+// ctl command does.
 func BenchmarkMakePlan(b *testing.B) {
 	for _, n := range []int{100, 1000, 10000} {
-		cur, want := sized(n), sized(n)
+		cur, want := configWithEndpoints(n), configWithEndpoints(n)
 		want.Endpoints[n/2].Draining = true
 		b.Run(fmt.Sprintf("endpoints=%d", n), func(b *testing.B) {
 			for b.Loop() {
@@ -55,23 +58,23 @@
 	}
 }
 
-// BenchmarkDelta measures what one changed endpoint costs a watcher as the
-// configuration grows: the bytes of the delta, against those of the whole,
-// and the time to apply it.
+// BenchmarkDelta measures the cost of one changed endpoint to a watcher as the
+// configuration grows: the time to apply the delta and its size, to compare
+// with the size of the full record in BenchmarkConfigDecode.
 func BenchmarkDelta(b *testing.B) {
 	for _, n := range []int{100, 1000, 10000} {
 		b.Run(fmt.Sprintf("endpoints=%d", n), func(b *testing.B) {
-			held := sized(n)
-			want := &Config{Endpoints: append([]Endpoint(nil), held.Endpoints...)}
+			current := configWithEndpoints(n)
+			want := &Config{Endpoints: append([]Endpoint(nil), current.Endpoints...)}
 			want.Endpoints[n/2].Draining = true
-			d := MakeDelta(held, want)
+			d := MakeDelta(current, want)
 			raw, err := json.Marshal(d)
 			if err != nil {
 				b.Fatal(err)
 			}
 			b.ReportAllocs()
 			for b.Loop() {
-				if _, err := held.With(d); err != nil {
+				if _, err := current.With(d); err != nil {
 					b.Fatal(err)
 				}
 			}
--- a/config/config_test.go
+++ b/config/config_test.go
@@ -9,6 +9,8 @@
 	"github.com/wagtaildrum/wagtaildrum/config"
 )
 
+// TestMakePlan checks that a plan lists a removed, a modified and an added
+// endpoint in order of their names.
 func TestMakePlan(t *testing.T) {
 	cur := &config.Config{Version: 4, Endpoints: []config.Endpoint{
 		{Name: "a", Role: "engine", Model: "m", Sidecar: "h:1"},
@@ -27,6 +29,8 @@
 	require.Equal(t, []string{"remove a", "modify b", "add c"}, got)
 }
 
+// TestValidate checks that each kind of invalid endpoint, and a duplicate name,
+// is an error.
 func TestValidate(t *testing.T) {
 	bad := []config.Endpoint{
 		{Name: "", Role: "engine", Model: "m", Sidecar: "h:1"},
@@ -40,8 +44,8 @@
 		var cerr *config.Error
 		require.ErrorAs(t, c.Validate(), &cerr, "%+v", e)
 	}
-	twice := &config.Config{Endpoints: []config.Endpoint{{Name: "a", Role: "engine", Model: "m", Sidecar: "h"}, {Name: "a", Role: "engine", Model: "m", Sidecar: "h"}}}
-	require.Error(t, twice.Validate())
+	duplicate := &config.Config{Endpoints: []config.Endpoint{{Name: "a", Role: "engine", Model: "m", Sidecar: "h"}, {Name: "a", Role: "engine", Model: "m", Sidecar: "h"}}}
+	require.Error(t, duplicate.Validate())
 }
 
 func ExampleMakePlan() {
--- a/config/delta.go
+++ b/config/delta.go
@@ -5,41 +5,49 @@
 	"slices"
 )
 
-// HeadKey is the table key of an empty record that is written with each
-// version. The configuration lives in the table service as three kinds of
-// record, written together in one transaction: the whole under Key, what a
-// version changed under DeltaKey, and the head. The versions of the first
-// and the last are the configuration's. Watchers read the head and the
-// deltas they lack; the whole, a megabyte at 10,000 endpoints, only when
-// they start or have missed too many.
+// HeadKey is the table key of the head, an empty record whose version is that
+// of the configuration.
+//
+// The table service stores the configuration as three kinds of records, which
+// are written together in one transaction: the full configuration under Key,
+// the delta of each version under its DeltaKey, and the head. The record
+// versions of the full configuration and of the head equal the configuration's
+// version. Watchers poll the head and read the deltas they lack. They read the
+// full configuration, about a megabyte for 10,000 endpoints, only when they
+// start, have missed too many versions, or can't apply a delta.
 const HeadKey = "config-head"
 
-// keepDeltas is how many versions back deltas are kept.
-const keepDeltas = 256
+// retainedDeltas is the number of latest versions whose deltas are retained. A
+// watcher further behind reads the full configuration.
+const retainedDeltas = 256
 
-// DeltaKey returns the table key of the delta that led to version.
+// DeltaKey returns the table key of the delta from the preceding version to
+// version.
 func DeltaKey(version uint64) string { return fmt.Sprintf("config-delta/%012d", version) }
 
-// ExpiredDelta returns the key of the delta to delete when version is
-// written, and whether there is one.
+// ExpiredDelta returns the key of the delta that expires when version is
+// written and is to be deleted with it, and whether there is such a delta.
 func ExpiredDelta(version uint64) (key string, ok bool) {
-	if version <= keepDeltas {
+	if version <= retainedDeltas {
 		return "", false
 	}
-	return DeltaKey(version - keepDeltas), true
+	return DeltaKey(version - retainedDeltas), true
 }
 
-// Delta is what changed from one version to the next.
+// Delta holds the changes from one version of the configuration to the next:
+// the endpoints added or modified in Set, the names of those removed in Remove.
+// Version is the version after the change.
 type Delta struct {
 	Version uint64     `json:"version"`
 	Set     []Endpoint `json:"set,omitempty"`
 	Remove  []string   `json:"remove,omitempty"`
 }
 
-// MakeDelta returns the delta that turns current into desired.
+// MakeDelta returns the delta that turns current into desired and increments its
+// version.
 func MakeDelta(current, desired *Config) *Delta {
 	d := &Delta{Version: current.Version + 1}
-	cur, want := byName(current), byName(desired)
+	cur, want := endpointsByName(current), endpointsByName(desired)
 	for _, e := range desired.Endpoints {
 		if c, ok := cur[e.Name]; !ok || !c.equal(&e) {
 			d.Set = append(d.Set, e)
@@ -53,24 +61,27 @@
 	return d
 }
 
+// equal reports whether all fields of e and f are equal.
 func (e *Endpoint) equal(f *Endpoint) bool {
 	return e.Name == f.Name && e.Role == f.Role && e.Model == f.Model && slices.Equal(e.Tools, f.Tools) &&
 		e.Sidecar == f.Sidecar && e.DataCentre == f.DataCentre && e.Draining == f.Draining
 }
 
-// DeltaError says a delta does not follow the configuration held.
-type DeltaError struct{ held, delta uint64 }
+// DeltaError is returned by Config.With for a delta whose version is not the one
+// after the configuration's.
+type DeltaError struct{ current, delta uint64 }
 
-// Error names both versions.
+// Error returns the versions of the delta and of the configuration.
 func (e *DeltaError) Error() string {
-	return fmt.Sprintf("delta to version %d does not follow version %d", e.delta, e.held)
+	return fmt.Sprintf("delta to version %d can't be applied to configuration version %d", e.delta, e.current)
 }
 
-// With returns c changed by d, or a *DeltaError if d was not made against
-// c's version. Endpoints keep their order; new ones come last.
+// With returns a copy of c with d applied, or a *DeltaError if d does not lead
+// from c's version to the next. Endpoints keep their order; added ones are
+// appended.
 func (c *Config) With(d *Delta) (*Config, error) {
 	if d.Version != c.Version+1 {
-		return nil, &DeltaError{held: c.Version, delta: d.Version}
+		return nil, &DeltaError{current: c.Version, delta: d.Version}
 	}
 	set := make(map[string]Endpoint, len(d.Set))
 	for _, e := range d.Set {
--- a/config/delta_test.go
+++ b/config/delta_test.go
@@ -10,14 +10,15 @@
 	"github.com/wagtaildrum/wagtaildrum/config"
 )
 
-// TestDeltasLeadToTheWhole changes a configuration at random 200 times and
-// follows it by deltas alone: no plan must ever see a difference.
-func TestDeltasLeadToTheWhole(t *testing.T) {
+// TestDeltasReproduceConfiguration changes a configuration at random 200 times
+// and applies each delta to a replica: the replica's endpoints must equal the
+// configuration's, and a delta must not apply twice.
+func TestDeltasReproduceConfiguration(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 1))
-	whole, followed := &config.Config{}, &config.Config{}
+	current, replica := &config.Config{}, &config.Config{}
 	for step := range 200 {
-		next := &config.Config{Version: whole.Version + 1}
-		for _, e := range whole.Endpoints {
+		next := &config.Config{Version: current.Version + 1}
+		for _, e := range current.Endpoints {
 			switch rng.IntN(8) {
 			case 0:
 				continue
@@ -27,14 +28,14 @@
 			next.Endpoints = append(next.Endpoints, e)
 		}
 		next.Endpoints = append(next.Endpoints, config.Endpoint{Name: fmt.Sprint("e", step), Role: "tool", Tools: []string{"t"}, Sidecar: "127.0.0.1:1"})
-		d := config.MakeDelta(whole, next)
+		d := config.MakeDelta(current, next)
 		var err error
-		followed, err = followed.With(d)
+		replica, err = replica.With(d)
 		require.NoError(t, err)
-		require.Equal(t, next.Endpoints, followed.Endpoints)
-		_, err = followed.With(d)
+		require.Equal(t, next.Endpoints, replica.Endpoints)
+		_, err = replica.With(d)
 		var derr *config.DeltaError
-		require.ErrorAs(t, err, &derr, "a delta is never applied twice")
-		whole = next
+		require.ErrorAs(t, err, &derr, "the same delta must not apply twice")
+		current = next
 	}
 }
--- a/config/doc.go
+++ b/config/doc.go
@@ -1,6 +1,8 @@
-// Package config is the deployment's configuration as the platform's
-// table service keeps it under the key "config": which endpoints exist,
-// their role, model or tools, and their sidecar's address. It also makes
-// the plan of a change, the difference an operator confirms before it is
-// written. It does no input or output.
+// Package config defines the deployment's configuration, stored in the
+// platform's table service under the key "config": the list of endpoints with
+// their role, their model or tools, and the address of their sidecar.
+//
+// It also computes the difference of two configurations, as a Plan that an
+// operator confirms before it is written, and as a Delta that watchers apply
+// to their copy. The package does no input or output.
 package config
