--- a/caller/doc.go
+++ b/caller/doc.go
@@ -1,5 +1,5 @@
-// Package caller holds the messages of the callers' HTTP API of an entry
-// instance: the program endpoints under /v1/programs and the errors every
-// endpoint answers with. The chat completions endpoint speaks the engine
-// package's OpenAI-compatible messages.
+// Package caller defines the messages of the HTTP API that an entry instance
+// offers to callers: the requests and responses under /v1/programs, and the
+// error responses of all paths. The messages of /v1/chat/completions, which is
+// OpenAI-compatible, are those of package engine.
 package caller
--- a/caller/errors.go
+++ b/caller/errors.go
@@ -12,7 +12,7 @@
 // ErrorType is the machine-readable kind of an API error.
 type ErrorType string
 
-// Error types. Those marked "not run" guarantee the call had no effect.
+// Error types. Those marked "not run" guarantee that the call had no effect.
 const (
 	TypeInvalidRequest ErrorType = "invalid_request_error" // not run
 	TypeNotFound       ErrorType = "not_found"             // not run
@@ -23,20 +23,21 @@
 	TypePastDeadline   ErrorType = "past_deadline"         // not run
 	TypeOverloaded     ErrorType = "overloaded"            // not run
 	TypeUnavailable    ErrorType = "unavailable"           // not run
-	// TypeUpstreamFailed: an idempotent call failed after it started; it
-	// may be sent again with the same sequence.
+	// TypeUpstreamFailed is the type for an idempotent call that failed after
+	// it started. The caller may retry it with the same sequence number.
 	TypeUpstreamFailed ErrorType = "upstream_failed"
-	// TypeNotDurable: the call ran and its answer is kept, but the record
-	// of it is not durable yet; the same sequence gets the answer later.
+	// TypeNotDurable is the type for a call that ran, and whose response is
+	// retained but not yet durable. A retry with the same sequence number
+	// returns the response later.
 	TypeNotDurable ErrorType = "not_durable"
-	// TypeOutcomeUnknown: a non-idempotent call may have run; it is never
-	// run again. Read the program's state to learn more later.
+	// TypeOutcomeUnknown is the type for a non-idempotent call that may have
+	// run. It is never run again; the program's state may show the outcome
+	// later.
 	TypeOutcomeUnknown ErrorType = "outcome_unknown"
 )
 
-// Error is an API error, answered as {"error": {...}} in the shape
-// OpenAI clients read, with a Retry-After header when the caller should
-// come back.
+// Error is an API error. It is written as {"error": {...}}, the form that
+// OpenAI clients read, with a Retry-After header if a delay was set.
 type Error struct {
 	status     int
 	typ        ErrorType
@@ -44,12 +45,12 @@
 	retryAfter time.Duration
 }
 
-// NewError returns an error answered with HTTP status.
+// NewError returns an error with an HTTP status, a type and a formatted message.
 func NewError(status int, typ ErrorType, format string, args ...any) *Error {
 	return &Error{status: status, typ: typ, message: fmt.Sprintf(format, args...)}
 }
 
-// RetryAfter sets when the caller should come back, and returns e.
+// RetryAfter sets the delay after which the caller should retry, and returns e.
 func (e *Error) RetryAfter(d time.Duration) *Error {
 	e.retryAfter = d
 	return e
@@ -58,10 +59,10 @@
 // Type returns the error's type.
 func (e *Error) Type() ErrorType { return e.typ }
 
-// Status returns the HTTP status.
+// Status returns the HTTP status of the response.
 func (e *Error) Status() int { return e.status }
 
-// Error returns "TYPE: MESSAGE".
+// Error returns the error's type and message as "TYPE: MESSAGE".
 func (e *Error) Error() string { return string(e.typ) + ": " + e.message }
 
 // ErrorBody is the JSON body of an API error.
@@ -69,17 +70,18 @@
 	Error ErrorDetail `json:"error"`
 }
 
-// ErrorDetail is the inside of ErrorBody.
+// ErrorDetail is the value of "error" in an ErrorBody.
 type ErrorDetail struct {
 	Type    ErrorType `json:"type"`
 	Message string    `json:"message"`
-	// RetryAfterSeconds repeats the Retry-After header, when set.
+	// RetryAfterSeconds equals the Retry-After header, 0 if there is none.
 	RetryAfterSeconds int `json:"retry_after_seconds,omitempty"`
-	// RetryAfterMillis is the same, not rounded up to whole seconds.
+	// RetryAfterMillis is the same delay in milliseconds, without the header's
+	// rounding up to seconds.
 	RetryAfterMillis int64 `json:"retry_after_ms,omitempty"`
 }
 
-// Write answers the error at once.
+// Write writes the error to w as a complete response.
 func (e *Error) Write(w http.ResponseWriter) {
 	body := ErrorBody{Error: ErrorDetail{Type: e.typ, Message: e.message}}
 	if e.retryAfter > 0 {
--- a/caller/message.go
+++ b/caller/message.go
@@ -6,25 +6,31 @@
 	"github.com/wagtaildrum/wagtaildrum/engine"
 )
 
-// Headers a caller sets on POST /v1/chat/completions to make the call part
-// of a program.
+// ProgramHeader and SequenceHeader are the headers that make a request to POST
+// /v1/chat/completions a call of a program: its ID and the call's sequence
+// number.
 const (
 	ProgramHeader  = "Wagtaildrum-Program"
 	SequenceHeader = "Wagtaildrum-Sequence"
 )
 
-// CreateProgram is the body of POST /v1/programs.
+// CreateProgram is the body of POST /v1/programs, which creates a program with
+// a budget in tokens.
 type CreateProgram struct {
 	ID           string `json:"id"`
 	BudgetTokens int64  `json:"budget_tokens"`
 	// Urgency is "background", "normal" (the default) or "urgent".
 	Urgency string `json:"urgency,omitempty"`
-	// Deadline is a Go duration such as "90s" from creation; empty: none.
-	Deadline           string   `json:"deadline,omitempty"`
+	// Deadline is the time from creation to the program's deadline as a Go
+	// duration such as "90s". Empty means no deadline.
+	Deadline string `json:"deadline,omitempty"`
+	// NonIdempotentTools lists tools that must not be run again when the
+	// outcome of a call is unknown.
 	NonIdempotentTools []string `json:"non_idempotent_tools,omitempty"`
 }
 
-// ProgramState answers GET /v1/programs/{id}.
+// ProgramState is the response to GET /v1/programs/{id}. Owner is the instance
+// that holds the program's lease, Fence the fencing token of the lease.
 type ProgramState struct {
 	ID           string `json:"id"`
 	State        string `json:"state"`
@@ -37,7 +43,7 @@
 	Fence        uint64 `json:"fence"`
 }
 
-// CallKind names what a program call does.
+// CallKind is the kind of a program call: a model call or a tool call.
 type CallKind string
 
 // Call kinds.
@@ -46,10 +52,10 @@
 	CallTool  CallKind = "tool"
 )
 
-// Call is the body of POST /v1/programs/{id}/calls. A model call appends
-// Content as the user's message to the program's history and asks Model
-// to answer the whole history; a tool call runs Tool with Arguments and
-// appends the result to the history.
+// Call is the body of POST /v1/programs/{id}/calls. A model call appends Content
+// to the program's history as a user message and requests a completion of the
+// full history from Model. A tool call runs Tool with Arguments and appends the
+// result to the history.
 type Call struct {
 	Sequence  uint64          `json:"sequence"`
 	Kind      CallKind        `json:"kind"`
@@ -60,7 +66,8 @@
 	Arguments json.RawMessage `json:"arguments,omitempty"`
 }
 
-// Answer answers a program call.
+// Answer is the response to a Call. Content and Usage are set for a model call,
+// Tool and Result for a tool call. Endpoint is the endpoint that served it.
 type Answer struct {
 	Program  string          `json:"program"`
 	Sequence uint64          `json:"sequence"`
@@ -70,7 +77,8 @@
 	Result   json.RawMessage `json:"result,omitempty"`
 	Usage    *engine.Usage   `json:"usage,omitempty"`
 	Endpoint string          `json:"endpoint"`
-	// Replayed is true when the call had already run and this is its
-	// recorded answer, given again instead of running it twice.
+	// Replayed reports whether this is the recorded response of an earlier
+	// request with the same sequence number, returned instead of running the
+	// call again.
 	Replayed bool `json:"replayed,omitempty"`
 }
--- a/engine/blocks.go
+++ b/engine/blocks.go
@@ -6,21 +6,22 @@
 	"github.com/wagtaildrum/wagtaildrum/program"
 )
 
-// PromptTokenList returns the tokens an engine reads for messages: for each
-// message its role marker and its words.
+// PromptTokenList returns the prompt tokens of messages: for each message its
+// role marker followed by the tokens of its content.
 func PromptTokenList(messages []program.Message) []string {
-	var toks []string
+	var tokens []string
 	for _, m := range messages {
-		toks = append(toks, m.Role+":")
-		toks = append(toks, Tokens(m.Content)...)
+		tokens = append(tokens, m.Role+":")
+		tokens = append(tokens, Tokens(m.Content)...)
 	}
-	return toks
+	return tokens
 }
 
-// BlockHashes returns the hash of each whole block of tokens: a block's
-// hash covers every token up to its end, so two prompts share a block hash
-// only if they are equal up to there. Engines name the blocks of their
-// prefix cache by these hashes in cache events.
+// BlockHashes returns the hashes of the full blocks of blockTokens tokens each;
+// a partial last block has none. The hash of a block covers all tokens from the
+// start of the prompt to the end of the block: two prompts have a block hash in
+// common only if they are equal up to the end of the block. Engines identify
+// the blocks of their prefix cache by these hashes in cache events.
 func BlockHashes(tokens []string, blockTokens int) []uint64 {
 	hashes := make([]uint64, 0, len(tokens)/blockTokens)
 	h := xxhash.New()
--- a/engine/message.go
+++ b/engine/message.go
@@ -12,29 +12,32 @@
 	Messages      []program.Message `json:"messages"`
 	Stream        bool              `json:"stream,omitempty"`
 	StreamOptions *StreamOptions    `json:"stream_options,omitempty"`
-	// MaxTokens bounds the tokens generated; older clients send max_tokens,
-	// newer ones max_completion_tokens.
+	// MaxTokens and MaxCompletionTokens bound the number of generated tokens:
+	// older clients send max_tokens, newer ones max_completion_tokens.
 	MaxTokens           int `json:"max_tokens,omitempty"`
 	MaxCompletionTokens int `json:"max_completion_tokens,omitempty"`
 }
 
-// Limit returns the generation bound asked for, or def if none was.
-func (r *ChatRequest) Limit(def int) int {
+// Limit returns the maximum number of generated tokens that the request sets,
+// or defaultLimit if it sets none.
+func (r *ChatRequest) Limit(defaultLimit int) int {
 	switch {
 	case r.MaxCompletionTokens > 0:
 		return r.MaxCompletionTokens
 	case r.MaxTokens > 0:
 		return r.MaxTokens
 	}
-	return def
+	return defaultLimit
 }
 
-// StreamOptions asks for a final usage chunk in a stream.
+// StreamOptions holds the options of a streamed completion. IncludeUsage
+// requests a final chunk with the token usage.
 type StreamOptions struct {
 	IncludeUsage bool `json:"include_usage"`
 }
 
-// Usage counts a completion's tokens.
+// Usage holds the token counts of a completion. PromptTokensDetails is nil if
+// the engine does not report them.
 type Usage struct {
 	PromptTokens        int64                `json:"prompt_tokens"`
 	CompletionTokens    int64                `json:"completion_tokens"`
@@ -42,13 +45,14 @@
 	PromptTokensDetails *PromptTokensDetails `json:"prompt_tokens_details,omitempty"`
 }
 
-// PromptTokensDetails tells how much of the prompt came from the engine's
-// prefix cache.
+// PromptTokensDetails holds the number of prompt tokens that the engine took
+// from its prefix cache.
 type PromptTokensDetails struct {
 	CachedTokens int64 `json:"cached_tokens"`
 }
 
-// Cached returns the cached prompt tokens, zero if not reported.
+// Cached returns the number of cached prompt tokens, or 0 if u is nil or the
+// number was not reported.
 func (u *Usage) Cached() int64 {
 	if u == nil || u.PromptTokensDetails == nil {
 		return 0
@@ -56,13 +60,14 @@
 	return u.PromptTokensDetails.CachedTokens
 }
 
-// Delta is the new text of one chunk.
+// Delta is the text that one chunk appends to a completion.
 type Delta struct {
 	Role    string `json:"role,omitempty"`
 	Content string `json:"content"`
 }
 
-// ChunkChoice is one choice in a chunk.
+// ChunkChoice is one choice in a ChatChunk. FinishReason is nil until the last
+// chunk of the choice.
 type ChunkChoice struct {
 	Index        int     `json:"index"`
 	Delta        Delta   `json:"delta"`
@@ -79,14 +84,14 @@
 	Usage   *Usage        `json:"usage,omitempty"`
 }
 
-// Choice is the one answer of a whole completion.
+// Choice is the completion in a ChatResponse.
 type Choice struct {
 	Index        int             `json:"index"`
 	Message      program.Message `json:"message"`
 	FinishReason string          `json:"finish_reason"`
 }
 
-// ChatResponse is a whole (not streamed) completion.
+// ChatResponse is the response to a ChatRequest that is not streamed.
 type ChatResponse struct {
 	ID      string   `json:"id"`
 	Object  string   `json:"object"`
@@ -96,13 +101,13 @@
 	Usage   *Usage   `json:"usage,omitempty"`
 }
 
-// Tokens splits text into the stand-in's tokens: words. Real engines use
-// their model's tokenizer; entry instances use this as an estimate when
-// reserving budget.
+// Tokens returns the words of text, which are the tokens of the stand-in engine.
+// Other engines use the tokenizer of their model; for these, entry instances
+// use the number of words as an estimate when they reserve budget.
 func Tokens(text string) []string { return strings.Fields(text) }
 
-// PromptTokens estimates the prompt size of messages: each message's words
-// plus one for its role.
+// PromptTokens returns an estimate of the number of prompt tokens of messages:
+// the words of each message plus one for its role.
 func PromptTokens(messages []program.Message) int64 {
 	var n int64
 	for _, m := range messages {
