--- a/operator/apply.go
+++ b/operator/apply.go
@@ -12,33 +12,36 @@
 	"github.com/wagtaildrum/wagtaildrum/tableservice"
 )
 
-// FileError is a desired-configuration file that cannot be used.
+// FileError is returned for a configuration that can't be used: a file that
+// can't be read, parsed or validated, or a table record that can't be decoded.
 type FileError struct {
 	path   string
 	detail string
 }
 
-// Error names the file and the fault.
+// Error returns the file or record and the reason why it can't be used.
 func (e *FileError) Error() string { return fmt.Sprintf("config file %s: %s", e.path, e.detail) }
 
-// StaleError says the configuration changed after the plan was made.
+// StaleError is returned by Apply if the configuration was changed after the
+// plan was made.
 type StaleError struct{ planned, current uint64 }
 
-// Error names both versions.
+// Error returns the version of the plan and the current one.
 func (e *StaleError) Error() string {
-	return fmt.Sprintf("configuration changed since the plan (planned against version %d, now %d): plan again", e.planned, e.current)
+	return fmt.Sprintf("configuration changed after the plan was made (plan against version %d, current version %d): make a new plan", e.planned, e.current)
 }
 
-// ReadDesired reads and validates a desired configuration from a TOML file
-// of [[endpoint]] tables.
+// ReadDesired reads and validates the desired configuration, a TOML file of
+// [[endpoint]] tables. It returns a *FileError if the file can't be read, has an
+// unknown key or holds an invalid endpoint.
 func ReadDesired(path string) (*config.Config, error) {
 	var cfg config.Config
 	md, err := toml.DecodeFile(path, &cfg)
 	if err != nil {
 		return nil, &FileError{path: path, detail: err.Error()}
 	}
-	if und := md.Undecoded(); len(und) > 0 {
-		return nil, &FileError{path: path, detail: fmt.Sprintf("unknown key %q", und[0].String())}
+	if undecoded := md.Undecoded(); len(undecoded) > 0 {
+		return nil, &FileError{path: path, detail: fmt.Sprintf("unknown key %q", undecoded[0].String())}
 	}
 	if err := cfg.Validate(); err != nil {
 		return nil, &FileError{path: path, detail: err.Error()}
@@ -46,7 +49,8 @@
 	return &cfg, nil
 }
 
-// Current reads the configuration in force; none yet is version 0.
+// Current returns the current configuration from the table service, or an empty
+// one of version 0 if none has been written.
 func Current(ctx context.Context, pc *tableservice.Client) (*config.Config, error) {
 	rec, err := pc.Get(ctx, config.Key)
 	if tableservice.Is(err, tableservice.FailureNotFound) {
@@ -63,9 +67,10 @@
 	return &cfg, nil
 }
 
-// Apply writes desired if the configuration is still at plan's base
-// version, and returns the new version. A write whose answer was lost is
-// read back: if the record holds desired at base+1, it was ours.
+// Apply writes desired if the current configuration still has the plan's base
+// version, and returns the new version; otherwise it returns a *StaleError. If
+// the response to the write is lost, Apply reads the configuration back: the
+// write took effect if the version after the base holds desired.
 func Apply(ctx context.Context, pc *tableservice.Client, plan *config.Plan, desired *config.Config) (uint64, error) {
 	current, err := Current(ctx, pc)
 	if err != nil {
@@ -74,7 +79,7 @@
 	if current.Version != plan.Base() {
 		return 0, &StaleError{planned: plan.Base(), current: current.Version}
 	}
-	ops, err := changeOps(current, desired)
+	ops, err := transactionOps(current, desired)
 	if err != nil {
 		return 0, err
 	}
@@ -87,14 +92,15 @@
 	case tableservice.Is(err, tableservice.FailureConflict) && errors.As(err, &pe):
 		return 0, &StaleError{planned: plan.Base(), current: pe.Current()}
 	case tableservice.Is(err, tableservice.FailureUnavailable):
-		return next, readBack(ctx, pc, plan, desired, err)
+		return next, resolveUnknownWrite(ctx, pc, plan, desired, err)
 	}
 	return 0, err
 }
 
-// changeOps returns the steps of the transaction that turns current into
-// desired: the whole, the delta, the head, and an old delta's deletion.
-func changeOps(current, desired *config.Config) ([]tableservice.TxOp, error) {
+// transactionOps returns the operations of the transaction that turns current
+// into desired: it writes the full configuration, the delta and the head, and
+// deletes the delta that expires.
+func transactionOps(current, desired *config.Config) ([]tableservice.TxOp, error) {
 	base, next := current.Version, current.Version+1
 	var ops []tableservice.TxOp
 	for _, r := range []struct {
@@ -118,17 +124,18 @@
 	return ops, nil
 }
 
-// readBack finds out what became of a write whose answer was lost; it
-// returns nil if it took effect.
-func readBack(ctx context.Context, pc *tableservice.Client, plan *config.Plan, desired *config.Config, lost error) error {
+// resolveUnknownWrite reads the configuration back after a write without a
+// response. It returns nil if the write took effect, a *StaleError if another
+// change did, and writeErr if the outcome stays unknown or there was no effect.
+func resolveUnknownWrite(ctx context.Context, pc *tableservice.Client, plan *config.Plan, desired *config.Config, writeErr error) error {
 	current, err := Current(ctx, pc)
 	switch {
 	case err != nil:
-		return lost
+		return writeErr
 	case current.Version == plan.Base()+1 && len(config.MakePlan(current, desired).Changes()) == 0:
 		return nil
 	case current.Version != plan.Base():
 		return &StaleError{planned: plan.Base(), current: current.Version}
 	}
-	return lost
+	return writeErr
 }
--- a/operator/doc.go
+++ b/operator/doc.go
@@ -1,7 +1,7 @@
-// Package operator carries out what an operator states with the ctl
-// command: it reads the desired configuration, makes the plan against the
-// configuration in force, and writes it only when the operator confirms,
-// with a compare-and-set on the version the plan was made against. Of two
-// operators racing, the second is told the configuration changed under
-// them and must plan again; neither overwrites the other unseen.
+// Package operator implements the configuration changes of the ctl command: it
+// reads the desired configuration from a file, reads the current one from the
+// table service, and writes a confirmed plan with a compare-and-set on the
+// version that the plan was made against. Of two concurrent changes the second
+// fails with a StaleError and has to be planned again, which keeps operators
+// from overwriting each other's changes unnoticed.
 package operator
