--- a/sidecar/cachewatch.go
+++ b/sidecar/cachewatch.go
@@ -15,46 +15,54 @@
 )
 
 const (
-	// cachePeriod is how often the engine's cache events are read.
-	cachePeriod = 200 * time.Millisecond
-	// trackedBlocks bounds the blocks whose removal is reported.
-	trackedBlocks = 1 << 16
-	// removedKept bounds the removals kept for entry instances that have
-	// not seen them; one that lags further behind is told to start afresh.
-	removedKept = 4096
-	// removedSent bounds the removals in one report.
-	removedSent = 512
+	// cachePollInterval is the interval at which the engine's cache events are
+	// read.
+	cachePollInterval = 200 * time.Millisecond
+	// maxTrackedBlocks is the maximum number of blocks whose removal is
+	// reported. Beyond it the least recently tracked ones are dropped.
+	maxTrackedBlocks = 1 << 16
+	// maxRetainedRemovals is the maximum number of removals retained for entry
+	// instances that have not received them. An instance further behind gets a
+	// report with Reset set.
+	maxRetainedRemovals = 4096
+	// maxReportedRemovals is the maximum number of removals in one report.
+	maxReportedRemovals = 512
 )
 
-// cacheWatch follows an engine's cache events and tells entry instances
-// which of the blocks they routed by are gone. Events come late and some
-// never: a gap in their numbers may hide a removal, and the router would go
-// on sending a program to an engine that has to read its history again. At
-// a gap the whole list of blocks is read instead.
-type cacheWatch struct {
+// cacheWatcher reads an engine's cache events and reports to entry instances
+// which of the blocks they routed by were removed from its prefix cache. Events
+// are published with a lag and some are lost. A gap in their sequence numbers
+// may hide a removal, after which the router would continue to send a program to
+// an engine that has to read its history again. After a gap the full list of
+// blocks is read instead.
+type cacheWatcher struct {
 	endpoint *sling.Sling
 	log      *slog.Logger
 
 	mu      sync.Mutex
 	tracked *simplelru.LRU[uint64, struct{}]
-	// removed holds removals first+1 to first+len(removed).
+	// removed holds the latest removals of tracked blocks, numbered from
+	// discarded+1 to discarded+len(removed).
 	removed []uint64
-	first   uint64
-	// seen is the last event number taken in.
-	seen    uint64
+	// discarded is the number of removals no longer retained.
+	discarded uint64
+	// lastEvent is the sequence number of the last event applied.
+	lastEvent uint64
+	// resyncs is the number of times the full list of blocks was applied.
 	resyncs int
 }
 
-func newCacheWatch(endpoint *sling.Sling, log *slog.Logger) *cacheWatch {
-	tracked, err := simplelru.NewLRU[uint64, struct{}](trackedBlocks, nil)
+// newCacheWatcher returns a watcher of endpoint that tracks no blocks yet.
+func newCacheWatcher(endpoint *sling.Sling, log *slog.Logger) *cacheWatcher {
+	tracked, err := simplelru.NewLRU[uint64, struct{}](maxTrackedBlocks, nil)
 	if err != nil {
-		panic(err) // only for a size below 1
+		panic(err) // NewLRU fails only for a size below 1
 	}
-	return &cacheWatch{endpoint: endpoint, log: log, tracked: tracked}
+	return &cacheWatcher{endpoint: endpoint, log: log, tracked: tracked}
 }
 
-// track notes that entry instances route by these blocks.
-func (w *cacheWatch) track(blocks []uint64) {
+// track adds blocks, which entry instances route by, to the tracked ones.
+func (w *cacheWatcher) track(blocks []uint64) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for _, b := range blocks {
@@ -62,55 +70,62 @@
 	}
 }
 
-// fill adds to r the removals after number seen.
-func (w *cacheWatch) fill(r *peer.Report, seen uint64) {
+// addRemovals adds to r the removals with numbers above lastSeen, the number of
+// the last removal that the instance received. It sets r.Reset instead if they
+// are too many, are no longer retained, or were counted by an earlier
+// incarnation of the sidecar.
+func (w *cacheWatcher) addRemovals(r *peer.Report, lastSeen uint64) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	last := w.first + uint64(len(w.removed))
-	r.Sequence = last
+	newest := w.discarded + uint64(len(w.removed))
+	r.Sequence = newest
 	switch {
-	case seen > last:
-		// The sidecar restarted and counts anew.
+	case lastSeen > newest:
+		// The sidecar was restarted, and its numbers start from 1 again.
 		r.Reset = true
-	case seen < w.first, last-seen > removedSent:
-		r.Reset = seen > 0 || w.first > 0
+	case lastSeen < w.discarded, newest-lastSeen > maxReportedRemovals:
+		r.Reset = lastSeen > 0 || w.discarded > 0
 	default:
-		r.Removed = append(r.Removed, w.removed[seen-w.first:]...)
+		r.Removed = append(r.Removed, w.removed[lastSeen-w.discarded:]...)
 	}
 }
 
-// run reads the engine's events until ctx ends, then reports on done.
-func (w *cacheWatch) run(ctx context.Context, done chan<- error) {
-	clock.Every(ctx, cachePeriod, func(time.Time) {
+// run polls the engine's cache events until ctx is cancelled, then sends on done.
+func (w *cacheWatcher) run(ctx context.Context, done chan<- error) {
+	clock.Every(ctx, cachePollInterval, func(time.Time) {
 		if err := w.poll(ctx); err != nil && ctx.Err() == nil {
-			w.log.Info("cache events not read", "err", err)
+			w.log.Info("engine cache events not read; retrying at the next poll", "err", err)
 		}
 	}, done)
 }
 
+// afterQuery is the query of GET /cache-events.
 type afterQuery struct {
 	After uint64 `url:"after"`
 }
 
-func (w *cacheWatch) poll(ctx context.Context) error {
+// poll reads and applies the engine's new cache events and, if one is missing,
+// the full list of blocks. It returns an error if a request fails.
+func (w *cacheWatcher) poll(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, 2*time.Second)
 	defer cancel()
 	var events engine.CacheEvents
-	if err := w.get(ctx, w.endpoint.New().Get("cache-events").QueryStruct(afterQuery{w.seen}), &events); err != nil {
+	if err := w.getJSON(ctx, w.endpoint.New().Get("cache-events").QueryStruct(afterQuery{w.lastEvent}), &events); err != nil {
 		return err
 	}
-	if w.apply(&events) {
+	if w.applyEvents(&events) {
 		return nil
 	}
 	var blocks engine.CacheBlocks
-	if err := w.get(ctx, w.endpoint.New().Get("cache-blocks"), &blocks); err != nil {
+	if err := w.getJSON(ctx, w.endpoint.New().Get("cache-blocks"), &blocks); err != nil {
 		return err
 	}
 	w.resync(&blocks)
 	return nil
 }
 
-func (w *cacheWatch) get(ctx context.Context, s *sling.Sling, out any) error {
+// getJSON sends the request s and decodes the JSON response into out.
+func (w *cacheWatcher) getJSON(ctx context.Context, s *sling.Sling, out any) error {
 	req, err := s.Request()
 	if err != nil {
 		return err
@@ -119,54 +134,57 @@
 	return err
 }
 
-// apply takes in events and reports whether none was missing.
-func (w *cacheWatch) apply(events *engine.CacheEvents) bool {
+// applyEvents applies events in order and reports whether none is missing up to
+// the highest published sequence number. It stops at the first gap.
+func (w *cacheWatcher) applyEvents(events *engine.CacheEvents) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for _, e := range events.Events {
-		if e.Sequence != w.seen+1 {
+		if e.Sequence != w.lastEvent+1 {
 			return false
 		}
-		w.seen = e.Sequence
+		w.lastEvent = e.Sequence
 		if e.Kind == engine.CacheRemoved {
 			w.remove(e.Block)
 		}
 	}
-	return events.Published == w.seen
+	return events.Published == w.lastEvent
 }
 
-// resync takes in the whole list of blocks: what is tracked and not in it
-// is gone.
-func (w *cacheWatch) resync(blocks *engine.CacheBlocks) {
-	held := make(map[uint64]struct{}, len(blocks.Blocks))
+// resync applies the full list of blocks in the prefix cache: a tracked block
+// that is not in it was removed.
+func (w *cacheWatcher) resync(blocks *engine.CacheBlocks) {
+	present := make(map[uint64]struct{}, len(blocks.Blocks))
 	for _, b := range blocks.Blocks {
-		held[b] = struct{}{}
+		present[b] = struct{}{}
 	}
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.resyncs++
-	w.seen = blocks.Sequence
+	w.lastEvent = blocks.Sequence
 	for _, b := range w.tracked.Keys() {
-		if _, ok := held[b]; !ok {
+		if _, ok := present[b]; !ok {
 			w.remove(b)
 		}
 	}
 }
 
-func (w *cacheWatch) remove(block uint64) {
+// remove records the removal of block if it is tracked, and discards the oldest
+// removals beyond maxRetainedRemovals. The caller must hold w.mu.
+func (w *cacheWatcher) remove(block uint64) {
 	if !w.tracked.Remove(block) {
 		return
 	}
 	w.removed = append(w.removed, block)
-	if over := len(w.removed) - removedKept; over > 0 {
-		w.removed = append(w.removed[:0], w.removed[over:]...)
-		w.first += uint64(over)
+	if excess := len(w.removed) - maxRetainedRemovals; excess > 0 {
+		w.removed = append(w.removed[:0], w.removed[excess:]...)
+		w.discarded += uint64(excess)
 	}
 }
 
-// stats returns the blocks tracked, removals so far and resyncs.
-func (w *cacheWatch) stats() (tracked int, removed uint64, resyncs int) {
+// stats returns the numbers of tracked blocks, removals so far and resyncs.
+func (w *cacheWatcher) stats() (tracked int, removed uint64, resyncs int) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.tracked.Len(), w.first + uint64(len(w.removed)), w.resyncs
+	return w.tracked.Len(), w.discarded + uint64(len(w.removed)), w.resyncs
 }
--- a/sidecar/doc.go
+++ b/sidecar/doc.go
@@ -1,7 +1,8 @@
-// Package sidecar is the process beside one endpoint (an engine or a tool
-// service). It takes calls from entry instances over the peer protocol,
-// refuses stale fences and out-of-order calls, admits calls to the
-// endpoint most urgent first through its own gate (engines know no
-// priorities), cancels the endpoint's work when the caller goes away, and
-// drains before a planned stop.
+// Package sidecar implements the process that runs next to one endpoint, which
+// is an engine or a tool service. A sidecar receives calls from entry instances
+// over the peer protocol and rejects calls with a stale fence or an earlier
+// sequence number. It admits calls to the endpoint through its own gate, the
+// most urgent first, because engines have no priorities. It cancels the
+// endpoint's work when the caller cancels the call or disconnects, and drains
+// before a planned stop.
 package sidecar
--- a/sidecar/sidecar.go
+++ b/sidecar/sidecar.go
@@ -23,40 +23,46 @@
 	"github.com/wagtaildrum/wagtaildrum/settings"
 )
 
-// retryAfterDraining is when a caller refused by a draining sidecar should
-// try again (elsewhere, normally at once).
+// retryAfterDraining is the retry delay for a call rejected by a draining
+// sidecar: none, since the caller normally retries at another endpoint.
+// retryAfterQueueFull is the retry delay for a call rejected by the gate if the
+// gate does not set one.
 const (
 	retryAfterDraining  = 0
 	retryAfterQueueFull = 500 * time.Millisecond
 )
 
-// Fence marks are kept for markFor after a program's last call. A deposed
-// owner frozen for longer is stopped by its own lease check alone.
+// fenceSweepInterval is the interval at which unused fence marks are deleted.
+// fenceRetention is the time for which a program's fence mark is retained after
+// its last call. A former owner that was suspended for longer is stopped by its
+// own lease check only.
 const (
-	sweepPeriod = time.Minute
-	markFor     = 10 * time.Minute
+	fenceSweepInterval = time.Minute
+	fenceRetention     = 10 * time.Minute
 )
 
-// Sidecar serves peer calls for one endpoint.
+// Sidecar serves peer calls for one endpoint. It holds the gate that admits
+// calls, the fence marks of programs and, for an engine, the watcher of its
+// prefix cache and the model calls in flight.
 type Sidecar struct {
-	role     string
-	endpoint *sling.Sling
-	http     *http.Client
-	gate     *admission.Gate[admission.Order]
-	cache    *cacheWatch
-	streams  *streams
-	fences   *fencing.Table
-	log      *slog.Logger
-	calls    tally.Counter
-	refused  tally.Counter
-	failed   tally.Counter
+	role       string
+	endpoint   *sling.Sling
+	http       *http.Client
+	gate       *admission.Gate[admission.Order]
+	cache      *cacheWatcher
+	modelCalls *modelCalls
+	fences     *fencing.Table
+	log        *slog.Logger
+	calls      tally.Counter
+	refused    tally.Counter
+	failed     tally.Counter
 }
 
-// New returns a sidecar for the endpoint in s, which must have been
-// checked.
+// New returns a sidecar for the endpoint in s, which must be valid settings. It
+// registers its counters in scope.
 func New(s *settings.Sidecar, clk clock.Clock, log *slog.Logger, scope tally.Scope) *Sidecar {
-	// One connection per running call is kept; the default of two would
-	// open and close one for nearly every call.
+	// Keep one idle connection per concurrent call. With the default of two, a
+	// connection would be opened and closed for nearly every call.
 	transport := http.DefaultTransport.(*http.Transport).Clone()
 	transport.MaxIdleConns, transport.MaxIdleConnsPerHost = s.MaxConcurrent, s.MaxConcurrent
 	hc := &http.Client{Transport: transport}
@@ -67,61 +73,65 @@
 	}
 	limits := admission.Limits{Running: s.MaxConcurrent, UrgentOnly: s.UrgentOnly, Waiting: s.MaxQueued, Urgent: int(program.UrgencyUrgent)}
 	return &Sidecar{
-		role:     s.Role,
-		endpoint: endpoint,
-		cache:    newCacheWatch(endpoint, log),
-		streams:  newStreams(),
-		http:     hc,
-		gate:     admission.NewGate(order, limits, clk),
-		fences:   fencing.NewTable(clk),
-		log:      log,
-		calls:    scope.Counter("calls"),
-		refused:  scope.Counter("refused"),
-		failed:   scope.Counter("failed"),
+		role:       s.Role,
+		endpoint:   endpoint,
+		cache:      newCacheWatcher(endpoint, log),
+		modelCalls: newModelCalls(),
+		http:       hc,
+		gate:       admission.NewGate(order, limits, clk),
+		fences:     fencing.NewTable(clk),
+		log:        log,
+		calls:      scope.Counter("calls"),
+		refused:    scope.Counter("refused"),
+		failed:     scope.Counter("failed"),
 	}
 }
 
-// Drain refuses new calls and returns a channel closed when none is left.
+// Drain makes the sidecar reject new calls and returns a channel that is closed
+// once all running and waiting calls have ended.
 func (s *Sidecar) Drain() <-chan struct{} { return s.gate.Drain() }
 
+// refuse replies that the call was not run and may be retried after a delay.
 func (s *Sidecar) refuse(send func(peer.Frame) error, reason, msg string, after time.Duration) {
 	s.refused.Inc(1)
 	_ = send(peer.Frame{Type: peer.FrameRefused, Reason: reason, Message: msg, RetryAfter: after.Milliseconds()})
 }
 
-// Run follows the endpoint's cache events, if it is an engine, and forgets
-// old fence marks, until ctx ends; then it reports on done.
+// Run polls the endpoint's cache events, if it is an engine, and deletes expired
+// fence marks. When ctx is cancelled, it stops and sends on done.
 func (s *Sidecar) Run(ctx context.Context, done chan<- error) {
-	watched := make(chan error, 1)
+	cacheDone := make(chan error, 1)
 	if s.role == "engine" {
-		go s.cache.run(ctx, watched)
+		go s.cache.run(ctx, cacheDone)
 	} else {
-		watched <- nil
+		cacheDone <- nil
 	}
-	sweep := time.NewTicker(sweepPeriod)
+	sweep := time.NewTicker(fenceSweepInterval)
 	defer sweep.Stop()
 	for {
 		select {
 		case <-ctx.Done():
-			done <- <-watched
+			done <- <-cacheDone
 			return
 		case <-sweep.C:
-			s.fences.Sweep(markFor)
+			s.fences.Sweep(fenceRetention)
 		}
 	}
 }
 
-// report is what goes with the last frame of a reply to call.
+// report returns the report for the final frame of the reply to call.
 func (s *Sidecar) report(call *peer.Call) *peer.Report {
 	running, waiting, _ := s.gate.Stats()
 	r := &peer.Report{Running: running, Waiting: waiting, Limit: s.gate.Limits().Running}
 	if call.Kind == peer.KindEngine {
-		s.cache.fill(r, call.SeenReport)
+		s.cache.addRemovals(r, call.SeenReport)
 	}
 	return r
 }
 
-// Handle serves one call; it is a peer.Handler.
+// Handle serves one call; it is a peer.Handler. It checks the call's fence and
+// sequence number, waits until the gate admits the call, and forwards it to the
+// endpoint. A call that is not admitted gets a FrameRefused.
 func (s *Sidecar) Handle(ctx context.Context, call *peer.Call, reply func(peer.Frame) error) {
 	s.calls.Inc(1)
 	send := func(f peer.Frame) error {
@@ -130,11 +140,10 @@
 		}
 		return reply(f)
 	}
-	// Calls outside any program carry no fence; only program calls are
-	// ordered and fenced.
+	// Calls outside of a program have no fence and no order to enforce.
 	if call.Program != "" {
 		if err := s.fences.Admit(call.Program, call.Fence, call.Sequence); err != nil {
-			s.log.Warn("call refused", "program", call.Program, "seq", call.Sequence, "fence", call.Fence, "reason", "stale", "err", err)
+			s.log.Warn("call rejected: its fence or sequence number is stale", "program", call.Program, "seq", call.Sequence, "fence", call.Fence, "reason", "stale", "err", err)
 			s.refuse(send, "stale_fence", err.Error(), 0)
 			return
 		}
@@ -146,14 +155,14 @@
 	}
 	if call.Program != "" && call.Kind == peer.KindEngine {
 		var done func()
-		ctx, done = s.streams.begin(ctx, call.Program)
+		ctx, done = s.modelCalls.begin(ctx, call.Program)
 		defer done()
 	}
 	release, err := s.gate.Acquire(ctx, ticketOf(call))
 	if err != nil {
 		var ae *admission.Error
 		if errors.As(err, &ae) && ae.Refusal() == admission.RefusalDraining {
-			s.refuse(send, "draining", "endpoint is leaving", retryAfterDraining)
+			s.refuse(send, "draining", "endpoint is draining", retryAfterDraining)
 			return
 		}
 		after := retryAfterQueueFull
@@ -173,6 +182,7 @@
 	}
 }
 
+// ticketOf returns the properties of call by which the gate orders it.
 func ticketOf(call *peer.Call) admission.Ticket {
 	t := admission.Ticket{Urgency: call.Urgency, Attained: call.Attained}
 	if call.Started > 0 {
@@ -184,6 +194,8 @@
 	return t
 }
 
+// post sends the body of call to path on the endpoint, with the headers for
+// resuming a response and for idempotency if call sets them.
 func (s *Sidecar) post(ctx context.Context, path string, call *peer.Call) (*http.Response, error) {
 	req, err := s.endpoint.New().Post(path).Body(bytes.NewReader(call.Body)).Request()
 	if err != nil {
@@ -199,15 +211,16 @@
 	return s.http.Do(req.WithContext(ctx))
 }
 
+// fail logs err and replies that the call failed with an unknown outcome.
 func (s *Sidecar) fail(send func(peer.Frame) error, call *peer.Call, err error) {
 	s.failed.Inc(1)
-	s.log.Warn("call failed", "program", call.Program, "seq", call.Sequence, "err", err)
+	s.log.Warn("call to endpoint failed; replying that its outcome is unknown", "program", call.Program, "seq", call.Sequence, "err", err)
 	_ = send(peer.Frame{Type: peer.FrameFailed, Reason: "endpoint_failed", Message: err.Error()})
 }
 
-// forwardEngine streams the engine's server-sent events back, one frame
-// per event. If the caller goes away, ctx ends and the request to the
-// engine is cancelled with it, so the engine frees the sequence.
+// forwardEngine sends call to the engine and replies with one frame per
+// server-sent event. If the caller cancels the call or disconnects, ctx is
+// cancelled and with it the request, upon which the engine frees the sequence.
 func (s *Sidecar) forwardEngine(ctx context.Context, call *peer.Call, send func(peer.Frame) error) {
 	resp, err := s.post(ctx, "v1/chat/completions", call)
 	if err != nil {
@@ -238,6 +251,8 @@
 	_ = send(peer.Frame{Type: peer.FrameEnd})
 }
 
+// forwardTool sends call to the tool service and replies with the response body
+// in one frame. A response with another status than 200 is a failed call.
 func (s *Sidecar) forwardTool(ctx context.Context, call *peer.Call, send func(peer.Frame) error) {
 	resp, err := s.post(ctx, "tools/"+call.Tool, call)
 	if err != nil {
@@ -256,20 +271,23 @@
 	_ = send(peer.Frame{Type: peer.FrameEnd})
 }
 
-// State is the sidecar's state dump.
+// State is the content of the sidecar's state dump. Programs is the number of
+// programs with a fence mark.
 type State struct {
 	Role     string `json:"role"`
 	Running  int    `json:"running"`
 	Waiting  int    `json:"waiting"`
 	Draining bool   `json:"draining"`
 	Programs int    `json:"programs_fenced"`
-	// TrackedBlocks, RemovedBlocks and CacheResyncs tell of the cache events.
+	// TrackedBlocks is the number of blocks whose removal is reported,
+	// RemovedBlocks the number of removals so far, and CacheResyncs how often
+	// the full list of blocks was read because events were missing.
 	TrackedBlocks int    `json:"tracked_blocks"`
 	RemovedBlocks uint64 `json:"removed_blocks"`
 	CacheResyncs  int    `json:"cache_resyncs"`
 }
 
-// State returns a snapshot for the state dump.
+// State returns the current State for the state dump.
 func (s *Sidecar) State() any {
 	r, w, d := s.gate.Stats()
 	tracked, removed, resyncs := s.cache.stats()
