--- a/journal/batch.go
+++ b/journal/batch.go
@@ -8,36 +8,45 @@
 	"github.com/wagtaildrum/wagtaildrum/program"
 )
 
-// Record is one checkpoint record of one program. Epoch is the lease
-// version at which the owner took the program over: the records of a later
-// epoch replace those of an earlier one.
+// Record is one checkpoint record of one program. Epoch is the lease version at
+// which the owner acquired the program: the records of a later epoch replace
+// those of an earlier one.
 type Record struct {
 	Program    program.ID         `json:"program"`
 	Epoch      uint64             `json:"epoch"`
 	Checkpoint program.Checkpoint `json:"checkpoint"`
-	// Urgent records do not wait for the next interval.
+	// Urgent reports whether the record is written without waiting for the end
+	// of the current interval.
 	Urgent bool `json:"-"`
 }
 
-// Batch is what is written at once.
+// Batch holds the records that are written together.
 type Batch struct {
 	Records []Record `json:"records"`
 }
 
-func prefixOf(journal string) string { return "journal/" + journal + "/" }
+// keyPrefix returns the prefix of the keys of all batches of journal.
+func keyPrefix(journal string) string { return "journal/" + journal + "/" }
 
+// batchKey returns the key of the batch number of journal, in the table service
+// and in the object store alike.
 func batchKey(journal string, number uint64) string {
-	return fmt.Sprintf("%s%012d", prefixOf(journal), number)
+	return fmt.Sprintf("%s%012d", keyPrefix(journal), number)
 }
 
-// NameError says a name in the store is not a batch's.
+// NameError is returned for a key below the prefix of a journal that is not the
+// key of a batch.
 type NameError struct{ name string }
 
-// Error quotes the name.
-func (e *NameError) Error() string { return fmt.Sprintf("journal: unexpected name %q", e.name) }
+// Error returns the key.
+func (e *NameError) Error() string {
+	return fmt.Sprintf("journal: %q is not the key of a batch", e.name)
+}
 
-func batchNumber(journal, name string) (uint64, error) {
-	text, ok := strings.CutPrefix(name, prefixOf(journal))
+// parseBatchKey returns the number of the batch of journal with key name. It
+// returns a *NameError if name is not such a key.
+func parseBatchKey(journal, name string) (uint64, error) {
+	text, ok := strings.CutPrefix(name, keyPrefix(journal))
 	if !ok {
 		return 0, &NameError{name: name}
 	}
--- a/journal/journal_test.go
+++ b/journal/journal_test.go
@@ -18,8 +18,9 @@
 	"github.com/wagtaildrum/wagtaildrum/tableservice"
 )
 
-// bench is a journal writer against a platform stand-in.
-type bench struct {
+// writerFixture is a journal writer that writes to a platform stand-in, with the
+// programs whose turns it records.
+type writerFixture struct {
 	t      *testing.T
 	store  *standin.Platform
 	client *tableservice.Client
@@ -28,8 +29,9 @@
 	progs  map[program.ID]*program.Program
 }
 
-func newBench(t *testing.T) *bench {
-	b := &bench{t: t, store: standin.NewPlatform(0, time.Now), logs: map[program.ID]*program.Log{}, progs: map[program.ID]*program.Program{}}
+// newWriterFixture starts a writer and stops it at the end of the test.
+func newWriterFixture(t *testing.T) *writerFixture {
+	b := &writerFixture{t: t, store: standin.NewPlatform(0, time.Now), logs: map[program.ID]*program.Log{}, progs: map[program.ID]*program.Program{}}
 	srv := httptest.NewServer(b.store.Handler())
 	b.client = tableservice.NewClient(srv.URL, time.Second)
 	b.writer = journal.NewWriter("entry-1-a", b.client, 5*time.Millisecond, slog.New(slog.NewTextHandler(io.Discard, nil)))
@@ -44,9 +46,9 @@
 	return b
 }
 
-// turn runs one turn of a program, creating it if need be, and hands its
-// record to the journal.
-func (b *bench) turn(id program.ID, epoch uint64, text string) *journal.Pending {
+// turn runs one turn of a program, creating the program for its first turn, and
+// appends the record to the journal.
+func (b *writerFixture) turn(id program.ID, epoch uint64, text string) *journal.Pending {
 	p, ok := b.progs[id]
 	if !ok {
 		var err error
@@ -62,16 +64,17 @@
 	return b.writer.Append(journal.Record{Program: id, Epoch: epoch, Checkpoint: c})
 }
 
-func (b *bench) durable(p *journal.Pending) {
+// waitDurable waits until p is durable and fails the test after 10 seconds.
+func (b *writerFixture) waitDurable(p *journal.Pending) {
 	select {
 	case <-p.Durable():
 	case <-time.After(10 * time.Second):
-		b.t.Fatal("a record never became durable")
+		b.t.Fatal("record not durable after 10 seconds")
 	}
 }
 
-// replay reads a program back as a successor would.
-func (b *bench) replay(id program.ID) *program.Program {
+// replay returns the program as a new owner would restore it from the journal.
+func (b *writerFixture) replay(id program.ID) *program.Program {
 	log, err := journal.NewReader(b.client, clock.Real{}).Program(context.Background(), b.writer.Name(), id)
 	require.NoError(b.t, err)
 	p, _, err := program.Replay(id, log.Records, 99)
@@ -79,16 +82,12 @@
 	return p
 }
 
-// TestTurnsShareWrites: turns due together cost few writes, and each comes
-// back as it was.
-//
-// Symptom: in a burst the store refuses calls for coming too fast, and
-// every program stands still.
-// Sequence: 500 programs each finish a turn at the same moment, some with a
-// prompt too large for a row.
-// Cause: a write per turn.
-func TestTurnsShareWrites(t *testing.T) {
-	b := newBench(t)
+// TestConcurrentTurnsShareBatches checks that turns that end at the same time
+// share few writes and are restored unchanged. With one write per turn, the
+// store would throttle the writes of a burst and delay all programs. 500 programs
+// each end a turn at the same time, some with a prompt too large for a row.
+func TestConcurrentTurnsShareBatches(t *testing.T) {
+	b := newWriterFixture(t)
 	var pending []*journal.Pending
 	for i := range 500 {
 		text := fmt.Sprintf("turn of program %d", i)
@@ -98,7 +97,7 @@
 		pending = append(pending, b.turn(program.ID(fmt.Sprint("p", i)), 1, text))
 	}
 	for _, p := range pending {
-		b.durable(p)
+		b.waitDurable(p)
 	}
 	writes, _ := b.store.Counts()
 	require.Less(t, writes, 50)
@@ -108,62 +107,57 @@
 	}
 }
 
-// TestLostAcksLoseNoTurn: a batch whose answer was lost is written again
-// under the same name, and nothing is lost or changed by it.
-//
-// Symptom: after an owner died, a turn is missing that was answered.
-// Sequence: the store takes batches and loses two answers in each round of
-// turns, while turns go on.
-// Cause: a second try that puts other records under the name of the first.
-func TestLostAcksLoseNoTurn(t *testing.T) {
-	b := newBench(t)
+// TestLostAcknowledgementsKeepAllTurns checks that a batch whose write succeeded
+// but whose response was lost is written again under the same name with the same
+// content. If a retry wrote other records under the name, a turn that was
+// acknowledged to its caller would be missing after the owner crashed. The store
+// loses two responses in each round of turns.
+func TestLostAcknowledgementsKeepAllTurns(t *testing.T) {
+	b := newWriterFixture(t)
 	for turn := range 30 {
 		b.store.LoseAcks(2)
 		var pending []*journal.Pending
 		for i := range 12 {
 			pending = append(pending, b.turn(program.ID(fmt.Sprint("p", i)), 1, fmt.Sprint("turn ", turn)))
-			time.Sleep(time.Millisecond) // some join a later batch
+			time.Sleep(time.Millisecond) // spread the turns over several batches
 		}
 		for _, p := range pending {
-			b.durable(p)
+			b.waitDurable(p)
 		}
-		// After each turn: a later whole record would hide what is missing.
+		// Compare after each turn, since a later full record would hide a
+		// missing one.
 		for id, p := range b.progs {
 			require.Equal(t, p.History(), b.replay(id).History(), "history of %s after turn %d", id, turn)
 		}
 	}
 }
 
-// TestBatchesAreDropped: the journal holds what is needed, not what was
-// written.
-//
-// Symptom: the store fills up, and taking a program over takes minutes.
-// Sequence: one program runs 100 turns beside one that stays quiet; then
-// the first ends.
-// Cause: batches that are never dropped.
-func TestBatchesAreDropped(t *testing.T) {
-	b := newBench(t)
-	b.durable(b.turn("quiet", 1, "one turn"))
+// TestUnusedBatchesAreDeleted checks that batches that no program needs are
+// deleted. Otherwise the store would fill up, and taking over a program would
+// take minutes. One program runs 100 turns while another runs only one.
+func TestUnusedBatchesAreDeleted(t *testing.T) {
+	b := newWriterFixture(t)
+	b.waitDurable(b.turn("quiet", 1, "one turn"))
 	for turn := range 100 {
-		b.durable(b.turn("busy", 1, fmt.Sprint("turn ", turn)))
+		b.waitDurable(b.turn("busy", 1, fmt.Sprint("turn ", turn)))
 	}
 	require.Eventually(t, func() bool { return b.writer.Stats().Live <= 17 }, 10*time.Second, 10*time.Millisecond,
-		"one batch of the quiet program, and those since the busy one's last whole record")
+		"one batch of the quiet program, and those since the last full record of the busy one")
 	require.Equal(t, b.progs["quiet"].History(), b.replay("quiet").History())
 	require.Equal(t, b.progs["busy"].History(), b.replay("busy").History())
 }
 
-// TestLaterEpochStands: records of an owner that was deposed do not mix
-// with its successor's.
-func TestLaterEpochStands(t *testing.T) {
-	b := newBench(t)
-	b.durable(b.turn("p", 1, "first owner"))
-	old := b.progs["p"]
+// TestLaterEpochReplacesEarlierRecords checks that records of a former owner,
+// even if they are written late, do not mix with those of the new owner.
+func TestLaterEpochReplacesEarlierRecords(t *testing.T) {
+	b := newWriterFixture(t)
+	b.waitDurable(b.turn("p", 1, "first owner"))
+	deposed := b.progs["p"]
 	delete(b.progs, "p")
-	b.durable(b.turn("p", 5, "second owner"))
-	mine := b.progs["p"]
-	// The first owner's last record lands late.
-	b.progs["p"], b.logs["p"] = old, &program.Log{}
-	b.durable(b.turn("p", 1, "late"))
-	require.Equal(t, mine.History(), b.replay("p").History())
+	b.waitDurable(b.turn("p", 5, "second owner"))
+	successor := b.progs["p"]
+	// The last record of the first owner is written late.
+	b.progs["p"], b.logs["p"] = deposed, &program.Log{}
+	b.waitDurable(b.turn("p", 1, "late"))
+	require.Equal(t, successor.History(), b.replay("p").History())
 }
--- a/journal/reader.go
+++ b/journal/reader.go
@@ -13,14 +13,16 @@
 )
 
 const (
-	// readers is how many objects are read at once.
-	readers = 8
-	// cacheFor is how long a journal that was read stays in memory: after
-	// an instance died, all its programs are asked for within moments.
-	cacheFor = 30 * time.Second
+	// maxConcurrentReads is the maximum number of objects read concurrently.
+	maxConcurrentReads = 8
+	// cacheRetention is the time after its last use for which a journal stays
+	// in memory. After an instance crashed, all its programs are requested
+	// within moments.
+	cacheRetention = 30 * time.Second
 )
 
-// Reader reads other processes' journals. It is safe for concurrent use.
+// Reader reads the journals of other processes and caches their records. It is
+// safe for concurrent use.
 type Reader struct {
 	platform *tableservice.Client
 	clock    clock.Clock
@@ -29,47 +31,51 @@
 	cache map[string]*contents
 }
 
-// contents is what was read of one journal.
+// contents holds the cached records of one journal, the numbers of the batches
+// they were read from, and the time of the last use.
 type contents struct {
-	mu      sync.Mutex
-	read    map[uint64]bool
-	records map[program.ID][]Record
-	used    time.Time
+	mu          sync.Mutex
+	batchesRead map[uint64]bool
+	records     map[program.ID][]Record
+	lastUsed    time.Time
 }
 
-// NewReader returns a reader that has read nothing yet.
+// NewReader returns a reader with an empty cache.
 func NewReader(pc *tableservice.Client, clk clock.Clock) *Reader {
 	return &Reader{platform: pc, clock: clk, cache: map[string]*contents{}}
 }
 
-// Log is what a journal holds of one program: the records of its latest
-// epoch there, from the last whole one to the newest. Epochs count from 1;
-// 0: the journal has nothing.
+// Log holds the records of one program in a journal: those of its latest epoch
+// in the journal, from the last full one to the newest. Epochs count from 1; the
+// epoch is 0 if the journal has no records of the program.
 type Log struct {
 	Epoch   uint64
 	Records []program.Checkpoint
 }
 
-// Program returns what the journal holds of the program. What was written
-// before the call is seen.
+// Program returns the records of the program in the journal, including all that
+// were written before the call. It returns an error if the journal can't be
+// read or decoded.
 func (r *Reader) Program(ctx context.Context, journal string, id program.ID) (Log, error) {
 	c := r.contentsOf(journal)
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.used = r.clock.Now()
+	c.lastUsed = r.clock.Now()
 	if err := r.refresh(ctx, journal, c); err != nil {
 		return Log{}, err
 	}
-	return latest(c.records[id]), nil
+	return latestLog(c.records[id]), nil
 }
 
+// contentsOf returns the cached contents of journal, which are empty before the
+// first read, and drops other journals that were not used for cacheRetention.
 func (r *Reader) contentsOf(journal string) *contents {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	now := r.clock.Now()
 	for name, c := range r.cache {
 		if name != journal && c.mu.TryLock() {
-			if now.Sub(c.used) > cacheFor {
+			if now.Sub(c.lastUsed) > cacheRetention {
 				delete(r.cache, name)
 			}
 			c.mu.Unlock()
@@ -77,24 +83,25 @@
 	}
 	c, ok := r.cache[journal]
 	if !ok {
-		c = &contents{read: map[uint64]bool{}, records: map[program.ID][]Record{}}
+		c = &contents{batchesRead: map[uint64]bool{}, records: map[program.ID][]Record{}}
 		r.cache[journal] = c
 	}
 	return c
 }
 
-// refresh reads the batches not read yet.
+// refresh reads the batches of journal that c lacks, from the rows of the table
+// service and from the object store. The caller must hold c.mu.
 func (r *Reader) refresh(ctx context.Context, journal string, c *contents) error {
-	rows, err := r.platform.Scan(ctx, prefixOf(journal))
+	rows, err := r.platform.Scan(ctx, keyPrefix(journal))
 	if err != nil {
 		return err
 	}
 	for _, row := range rows {
-		if err := c.take(journal, row.Key, row.Value); err != nil {
+		if err := c.addBatch(journal, row.Key, row.Value); err != nil {
 			return err
 		}
 	}
-	names, err := r.platform.ListObjects(ctx, prefixOf(journal))
+	names, err := r.platform.ListObjects(ctx, keyPrefix(journal))
 	if err != nil {
 		return err
 	}
@@ -105,14 +112,15 @@
 	return nil
 }
 
-// prune drops records that newer ones replaced: a journal read after a
-// burst holds many more than are needed, and an entry has little memory.
+// prune drops records that newer ones replace. A journal read after a burst
+// holds many more records than are needed, and an entry instance has little
+// memory.
 func (c *contents) prune() {
 	for id, records := range c.records {
 		if len(records) < 2 {
 			continue
 		}
-		log := latest(records)
+		log := latestLog(records)
 		kept := make([]Record, len(log.Records))
 		for i, checkpoint := range log.Records {
 			kept[i] = Record{Program: id, Epoch: log.Epoch, Checkpoint: checkpoint}
@@ -121,14 +129,16 @@
 	}
 }
 
+// readObjects reads the objects among names that c lacks, up to
+// maxConcurrentReads at once, and adds their batches to c.
 func (r *Reader) readObjects(ctx context.Context, journal string, names []string, c *contents) error {
 	names = slices.DeleteFunc(names, func(name string) bool {
-		n, err := batchNumber(journal, name)
-		return err == nil && c.read[n]
+		n, err := parseBatchKey(journal, name)
+		return err == nil && c.batchesRead[n]
 	})
 	raws := make([]json.RawMessage, len(names))
 	errs := make(chan error, len(names))
-	slots := make(chan struct{}, readers)
+	slots := make(chan struct{}, maxConcurrentReads)
 	for i, name := range names {
 		slots <- struct{}{}
 		go func() {
@@ -136,51 +146,53 @@
 			<-slots
 		}()
 	}
-	var first error
+	var firstErr error
 	for range names {
-		// An object dropped since it was listed held nothing needed.
-		if err := <-errs; err != nil && !tableservice.Is(err, tableservice.FailureNotFound) && first == nil {
-			first = err
+		// An object that was deleted after it was listed held no needed record.
+		if err := <-errs; err != nil && !tableservice.Is(err, tableservice.FailureNotFound) && firstErr == nil {
+			firstErr = err
 		}
 	}
-	if first != nil {
-		return first
+	if firstErr != nil {
+		return firstErr
 	}
 	for i, name := range names {
 		if len(raws[i]) == 0 {
 			continue
 		}
-		if err := c.take(journal, name, raws[i]); err != nil {
+		if err := c.addBatch(journal, name, raws[i]); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// take takes in one batch.
-func (c *contents) take(journal, name string, raw json.RawMessage) error {
-	n, err := batchNumber(journal, name)
+// addBatch adds the records of the batch with key name and content raw to c,
+// unless the batch was read before. It returns a *NameError or a decoding error
+// if name or raw is not a batch's.
+func (c *contents) addBatch(journal, name string, raw json.RawMessage) error {
+	n, err := parseBatchKey(journal, name)
 	if err != nil {
 		return err
 	}
-	if c.read[n] {
+	if c.batchesRead[n] {
 		return nil
 	}
 	var b Batch
 	if err := json.Unmarshal(raw, &b); err != nil {
 		return err
 	}
-	c.read[n] = true
+	c.batchesRead[n] = true
 	for _, r := range b.Records {
 		c.records[r.Program] = append(c.records[r.Program], r)
 	}
 	return nil
 }
 
-// latest picks, of all records of one program, those of its latest epoch
-// from the last whole one on, in order. Batches that were dropped while
-// others were read leave gaps below it, never above.
-func latest(records []Record) Log {
+// latestLog returns, of all records of one program, those of its latest epoch
+// from the last full one on, in order and without duplicates. Batches that were
+// deleted while others were read leave gaps before the last full record only.
+func latestLog(records []Record) Log {
 	var epoch uint64
 	for i := range records {
 		epoch = max(epoch, records[i].Epoch)
--- a/journal/references.go
+++ b/journal/references.go
@@ -6,24 +6,26 @@
 	"github.com/wagtaildrum/wagtaildrum/program"
 )
 
-// pins counts, for each batch, the programs that still need a record in
-// it, so that a batch can be dropped when none does. It does no input or
-// output and is not safe for concurrent use.
-type pins struct {
-	// users holds the programs that need each batch; byProgram the batches
-	// each program needs, oldest first.
-	users     map[uint64]map[program.ID]struct{}
+// references holds, for each batch, the programs that need a record in it. A
+// batch that no program needs can be deleted. references does no input or output
+// and is not safe for concurrent use.
+type references struct {
+	// users holds the programs that need a batch, by batch number.
+	users map[uint64]map[program.ID]struct{}
+	// byProgram holds the numbers of the batches that a program needs, oldest
+	// first.
 	byProgram map[program.ID][]uint64
 }
 
-func newPins() *pins {
-	return &pins{users: map[uint64]map[program.ID]struct{}{}, byProgram: map[program.ID][]uint64{}}
+// newReferences returns references without batches.
+func newReferences() *references {
+	return &references{users: map[uint64]map[program.ID]struct{}{}, byProgram: map[program.ID][]uint64{}}
 }
 
-// add notes that batch number holds the records, and returns the batches
-// that nobody needs any more: a whole record replaces its program's earlier
-// ones.
-func (p *pins) add(number uint64, records []Record) (unused []uint64) {
+// add records that the batch number holds records, and returns the batches that
+// are no longer needed by any program as a result: a full record replaces the
+// earlier records of its program.
+func (p *references) add(number uint64, records []Record) (unused []uint64) {
 	p.users[number] = map[program.ID]struct{}{}
 	for i := range records {
 		r := &records[i]
@@ -35,13 +37,14 @@
 			p.byProgram[r.Program] = append(p.byProgram[r.Program], number)
 		}
 	}
-	// A batch may have been released while it was filled.
+	// With several records of one program in the batch, a later full record
+	// may have released the batch itself.
 	return slices.DeleteFunc(unused, func(n uint64) bool { return n == number })
 }
 
-// release notes that the program needs no batch any more, and returns the
-// batches that nobody needs.
-func (p *pins) release(id program.ID) (unused []uint64) {
+// release removes all references of the program, and returns the batches that
+// are no longer needed by any program as a result.
+func (p *references) release(id program.ID) (unused []uint64) {
 	for _, n := range p.byProgram[id] {
 		delete(p.users[n], id)
 		if len(p.users[n]) == 0 {
@@ -52,8 +55,8 @@
 	return unused
 }
 
-// forget drops batches that were deleted.
-func (p *pins) forget(numbers []uint64) {
+// removeBatches removes the entries of batches that were deleted from the store.
+func (p *references) removeBatches(numbers []uint64) {
 	for _, n := range numbers {
 		if len(p.users[n]) == 0 {
 			delete(p.users, n)
@@ -61,8 +64,8 @@
 	}
 }
 
-// before returns the programs that need a batch older than number.
-func (p *pins) before(number uint64) []program.ID {
+// programsBefore returns the programs that need a batch with a lower number.
+func (p *references) programsBefore(number uint64) []program.ID {
 	var out []program.ID
 	for id, numbers := range p.byProgram {
 		if numbers[0] < number {
--- a/journal/sweep.go
+++ b/journal/sweep.go
@@ -6,17 +6,21 @@
 )
 
 const (
-	// Each sweepPeriod at most sweepRows rows that nobody needs are deleted,
-	// in one transaction, and sweepObjects objects: more than are written.
-	sweepPeriod  = 250 * time.Millisecond
-	sweepRows    = 64
-	sweepObjects = 6
+	// sweepInterval is the interval at which unused batches are deleted. The
+	// limits below allow more deletions in an interval than there are writes,
+	// which keeps the number of unused batches from growing.
+	sweepInterval = 250 * time.Millisecond
+	// maxSweptRows is the maximum number of rows deleted in an interval, in
+	// one transaction.
+	maxSweptRows = 64
+	// maxSweptObjects is the maximum number of objects deleted in an interval.
+	maxSweptObjects = 6
 )
 
-// sweep deletes batches that nobody needs until ctx ends, then reports on
-// done.
+// sweep deletes unused batches at each sweepInterval until ctx is cancelled, then
+// sends on done.
 func (w *Writer) sweep(ctx context.Context, done chan<- struct{}) {
-	ticker := time.NewTicker(sweepPeriod)
+	ticker := time.NewTicker(sweepInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -29,42 +33,46 @@
 	}
 }
 
-// sweepOnce deletes the rows that are due in one transaction, and some of
-// the objects. What fails is tried again later.
+// sweepOnce deletes up to maxSweptRows rows in one transaction and up to
+// maxSweptObjects objects. A failed deletion is retried in a later interval.
 func (w *Writer) sweepOnce(ctx context.Context) {
-	rows, objects := w.due()
+	rows, objects := w.takeUnused()
 	if len(rows) > 0 {
 		keys := make([]string, len(rows))
 		for i, number := range rows {
 			keys[i] = batchKey(w.name, number)
 		}
-		w.swept(rows, w.platform.Delete(ctx, keys...))
+		w.finishSweep(rows, w.platform.Delete(ctx, keys...))
 	}
 	for _, number := range objects {
-		w.swept([]uint64{number}, w.platform.DropObject(ctx, batchKey(w.name, number)))
+		w.finishSweep([]uint64{number}, w.platform.DropObject(ctx, batchKey(w.name, number)))
 	}
 }
 
-// due takes the batches to delete now off the list.
-func (w *Writer) due() (rows, objects []uint64) {
+// takeUnused removes the batches to delete in this interval from the list of
+// unused ones and returns their numbers.
+func (w *Writer) takeUnused() (rows, objects []uint64) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	var left []uint64
+	var remaining []uint64
 	for _, number := range w.unused {
-		switch at := w.inStore[number]; {
-		case at == placeTable && len(rows) < sweepRows:
+		switch location := w.locations[number]; {
+		case location == locationTable && len(rows) < maxSweptRows:
 			rows = append(rows, number)
-		case at == placeObject && len(objects) < sweepObjects:
+		case location == locationObject && len(objects) < maxSweptObjects:
 			objects = append(objects, number)
 		default:
-			left = append(left, number)
+			remaining = append(remaining, number)
 		}
 	}
-	w.unused = left
+	w.unused = remaining
 	return rows, objects
 }
 
-func (w *Writer) swept(numbers []uint64, err error) {
+// finishSweep handles the result of deleting batches: without an error it
+// removes them from the writer's state, otherwise it queues them to be deleted
+// again.
+func (w *Writer) finishSweep(numbers []uint64, err error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if err != nil {
@@ -72,7 +80,7 @@
 		return
 	}
 	for _, number := range numbers {
-		delete(w.inStore, number)
+		delete(w.locations, number)
 	}
-	w.pins.forget(numbers)
+	w.references.removeBatches(numbers)
 }
--- a/journal/writer.go
+++ b/journal/writer.go
@@ -14,109 +14,124 @@
 )
 
 const (
-	// rowBytes is the largest batch that goes into a row of the table
-	// service, which answers sooner than the object store; larger ones go
-	// to the object store.
-	rowBytes = 48 << 10
-	// batchBytes is about how much one batch holds at most, so that no
-	// write takes so long that those behind it miss their deadlines.
-	batchBytes = 2 << 20
-	// smallRecord is the size from which a record counts as large.
-	smallRecord = 12 << 10
-	// largeEvery is how many intervals lie between two batches of large
-	// records: these take the store longer, and cost as many of its writes.
-	largeEvery = 3
-	// mostInFlight bounds the batches on their way at once.
-	mostInFlight = 8
-	// finishFor bounds how long a stopping writer goes on.
-	finishFor = 2 * time.Second
-	// span is how many batches behind the newest a program's records may
-	// lie before it should write a whole record, so that a journal stays
-	// short enough to be read in a moment.
-	span = 256
-	// Pauses between tries of a batch that the store did not take.
-	retryFirst = 20 * time.Millisecond
-	retryMost  = 500 * time.Millisecond
+	// maxRowBytes is the maximum size of a batch that is written to a row of
+	// the table service, which responds sooner than the object store. Larger
+	// batches are written to the object store.
+	maxRowBytes = 48 << 10
+	// largeBatchBytes is the approximate maximum size of a batch of large
+	// records. It keeps a write from taking so long that those after it miss
+	// their deadlines.
+	largeBatchBytes = 2 << 20
+	// largeRecordBytes is the minimum size of a large record. Large records
+	// are written in separate batches.
+	largeRecordBytes = 12 << 10
+	// largeBatchIntervals is the minimum number of intervals between two
+	// batches of large records: each takes the store longer and counts as
+	// a write like any other.
+	largeBatchIntervals = 3
+	// maxInFlight is the maximum number of batches being written at a time.
+	maxInFlight = 8
+	// shutdownTimeout is the maximum time for which a stopping writer
+	// continues to write pending records.
+	shutdownTimeout = 2 * time.Second
+	// maxBatchSpan is the maximum distance, in batches, between the newest
+	// batch and the oldest that a program needs. A program beyond it should
+	// write a full record, which keeps the journal short enough to be read
+	// quickly.
+	maxBatchSpan = 256
+	// initialRetryDelay and maxRetryDelay bound the delays between attempts to
+	// write a batch.
+	initialRetryDelay = 20 * time.Millisecond
+	maxRetryDelay     = 500 * time.Millisecond
 )
 
-// Pending is a record on its way to the store.
+// Pending is a record that was appended to the journal and may not be durable
+// yet.
 type Pending struct {
 	record  Record
 	durable chan struct{}
 }
 
-// Durable returns a channel that is closed once the record is durable.
+// Durable returns a channel that is closed once the store has the record.
 func (p *Pending) Durable() <-chan struct{} { return p.durable }
 
 // Checkpoint returns the record's checkpoint.
 func (p *Pending) Checkpoint() *program.Checkpoint { return &p.record.Checkpoint }
 
-// Writer writes an entry process's journal. It is safe for concurrent use.
+// Writer writes the journal of an entry process and deletes its unused batches.
+// It is safe for concurrent use.
 type Writer struct {
 	name     string
 	platform *tableservice.Client
 	interval time.Duration
 	log      *slog.Logger
-	wake     chan struct{}
-	// hurry ends the pause between two batches.
-	hurry chan struct{}
+	// wake makes Run write the waiting records.
+	wake chan struct{}
+	// urgent ends the current interval between two batches.
+	urgent chan struct{}
 
-	mu      sync.Mutex
+	mu sync.Mutex
+	// waiting holds the records that are in no batch yet.
 	waiting []*Pending
-	// writing counts the records on their way.
-	writing int
-	// next numbers batches, from 1.
-	next    uint64
-	pins    *pins
-	unused  []uint64
-	largeAt time.Time
-	inStore map[uint64]place
-	stats   Stats
+	// inFlightRecords is the number of records being written.
+	inFlightRecords int
+	// lastBatch is the number of the latest batch; batches count from 1.
+	lastBatch  uint64
+	references *references
+	// unused holds the numbers of batches to delete.
+	unused []uint64
+	// lastLargeBatch is when the last batch of large records was started.
+	lastLargeBatch time.Time
+	// locations holds the location of each batch in the store.
+	locations map[uint64]batchLocation
+	stats     Stats
 }
 
-// encoded is a batch as it is written. Until the store has taken it, its
-// name and content stay as they are: a try that seemed to fail may still
-// land. Its records are of different programs than those of all other
-// batches on their way, since a program has one record pending at most; so
-// batches may overtake each other.
-type encoded struct {
+// encodedBatch is a batch in the encoding in which it is written. Its name and content must not change
+// until the store has accepted it, because an attempt that seemed to fail may
+// still take effect. Batches may be written in any order: a program has at most
+// one pending record, hence no two batches in flight hold records of the same
+// program.
+type encodedBatch struct {
 	number  uint64
 	records []*Pending
 	raw     json.RawMessage
 }
 
-// place says which service holds a batch.
-type place int
+// batchLocation is the service that stores a batch: the table service or the
+// object store.
+type batchLocation int
 
 const (
-	placeTable place = iota
-	placeObject
+	locationTable batchLocation = iota
+	locationObject
 )
 
-// Stats counts a writer's work.
+// Stats holds the counts of a writer: the batches and records written, and how
+// many of the batches were objects.
 type Stats struct {
 	Batches int `json:"batches"`
 	Records int `json:"records"`
 	Objects int `json:"object_batches"`
-	// Live is the number of batches in the store.
+	// Live is the number of batches that are in the store now.
 	Live int `json:"live_batches"`
 	// Waiting is the number of records not yet durable.
 	Waiting int `json:"waiting"`
 }
 
 // NewWriter returns the writer of the journal called name, which no other
-// process may use. A batch goes out at once when none went for interval;
-// under load one goes out each interval, and at once for urgent records.
+// process may write. If no batch was started within interval, a record is
+// written at once; under load the records of an interval are written together,
+// except that an urgent record ends the interval.
 func NewWriter(name string, pc *tableservice.Client, interval time.Duration, log *slog.Logger) *Writer {
-	return &Writer{name: name, platform: pc, interval: interval, log: log, wake: make(chan struct{}, 1), hurry: make(chan struct{}, 1), pins: newPins(), inStore: map[uint64]place{}}
+	return &Writer{name: name, platform: pc, interval: interval, log: log, wake: make(chan struct{}, 1), urgent: make(chan struct{}, 1), references: newReferences(), locations: map[uint64]batchLocation{}}
 }
 
 // Name returns the journal's name.
 func (w *Writer) Name() string { return w.name }
 
-// Append hands a record over to be written; its Pending tells when it is
-// durable. A record is retried until the store takes it: what was appended
-// is never given up while the process lives.
+// Append queues r to be written and returns its Pending, which reports when r is
+// durable. Writing r is retried until the store accepts it or the process stops.
 func (w *Writer) Append(r Record) *Pending {
 	p := &Pending{record: r, durable: make(chan struct{})}
 	w.mu.Lock()
@@ -125,13 +140,14 @@
 	w.signal()
 	if r.Urgent {
 		select {
-		case w.hurry <- struct{}{}:
+		case w.urgent <- struct{}{}:
 		default:
 		}
 	}
 	return p
 }
 
+// signal makes Run start another round of batches.
 func (w *Writer) signal() {
 	select {
 	case w.wake <- struct{}{}:
@@ -139,22 +155,24 @@
 	}
 }
 
-// Release notes that the program's records are needed no more.
+// Release records that the program's records are no longer needed, which allows
+// their batches to be deleted.
 func (w *Writer) Release(id program.ID) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.unused = append(w.unused, w.pins.release(id)...)
+	w.unused = append(w.unused, w.references.release(id)...)
 }
 
-// Lagging returns programs whose records lie so far back that they should
-// write a whole record.
+// Lagging returns the programs that need a batch more than maxBatchSpan batches
+// behind the newest. Each should write a full record, which allows the older
+// batches to be deleted.
 func (w *Writer) Lagging() []program.ID {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if w.next < span {
+	if w.lastBatch < maxBatchSpan {
 		return nil
 	}
-	return w.pins.before(w.next - span)
+	return w.references.programsBefore(w.lastBatch - maxBatchSpan)
 }
 
 // Stats returns the writer's counts so far.
@@ -162,19 +180,20 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	s := w.stats
-	s.Live, s.Waiting = len(w.inStore), len(w.waiting)+w.writing
+	s.Live, s.Waiting = len(w.locations), len(w.waiting)+w.inFlightRecords
 	return s
 }
 
-// Run writes batches until ctx ends, finishes what waits if the store takes
-// it soon, and then reports on done.
+// Run writes batches and deletes unused ones until ctx is cancelled. It then
+// continues to write pending records for up to shutdownTimeout, and sends on
+// done.
 func (w *Writer) Run(ctx context.Context, done chan<- error) {
-	writes, stop := context.WithCancel(context.WithoutCancel(ctx))
-	defer stop()
-	swept := make(chan struct{}, 1)
-	go w.sweep(ctx, swept)
-	defer func() { <-swept }()
-	written := make(chan struct{}, mostInFlight)
+	writeCtx, cancelWrites := context.WithCancel(context.WithoutCancel(ctx))
+	defer cancelWrites()
+	sweepDone := make(chan struct{}, 1)
+	go w.sweep(ctx, sweepDone)
+	defer func() { <-sweepDone }()
+	written := make(chan struct{}, maxInFlight)
 	inFlight := 0
 	for ctx.Err() == nil {
 		select {
@@ -184,33 +203,34 @@
 			continue
 		case <-w.wake:
 		}
-		for inFlight >= mostInFlight-1 {
+		for inFlight >= maxInFlight-1 {
 			<-written
 			inFlight--
 		}
-		inFlight += w.send(writes, written)
-		// The first record after a pause goes out at once; under load the
-		// records of one interval share a batch.
+		inFlight += w.startWrites(writeCtx, written)
+		// The first record after an idle interval is written at once; under
+		// load the records of one interval share a batch.
 		select {
 		case <-ctx.Done():
-		case <-w.hurry:
+		case <-w.urgent:
 		case <-time.After(w.interval):
 		}
 	}
-	defer time.AfterFunc(finishFor, stop).Stop()
-	for inFlight += w.send(writes, written); inFlight > 0; inFlight-- {
+	defer time.AfterFunc(shutdownTimeout, cancelWrites).Stop()
+	for inFlight += w.startWrites(writeCtx, written); inFlight > 0; inFlight-- {
 		<-written
 	}
 	done <- nil
 }
 
-// send starts writing the batches now due and returns how many they are.
-func (w *Writer) send(ctx context.Context, written chan<- struct{}) int {
-	batches := w.take()
+// startWrites starts writing the batches that are due and returns their number.
+// Each write sends on written when it ends, whether or not it succeeded.
+func (w *Writer) startWrites(ctx context.Context, written chan<- struct{}) int {
+	batches := w.takeBatches()
 	for _, b := range batches {
 		go func() {
-			if w.write(ctx, b) {
-				w.committed(b)
+			if w.writeBatch(ctx, b) {
+				w.markDurable(b)
 			}
 			written <- struct{}{}
 		}()
@@ -218,35 +238,35 @@
 	return len(batches)
 }
 
-// take takes waiting records off the queue as at most two batches: the
-// small ones that fit into a row, which the table service takes in a moment,
-// and apart from them the large ones, so that a new program's long prompt
-// does not hold up everybody's next turn.
-func (w *Writer) take() []*encoded {
+// takeBatches removes waiting records from the queue and returns them as at most
+// two batches: one of small records that fits into a row, which the table
+// service writes quickly, and one of large records. Separate batches keep the
+// long prompt of a new program from delaying the next turn of all others.
+func (w *Writer) takeBatches() []*encodedBatch {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	var small, large, left []*Pending
+	var small, large, remaining []*Pending
 	smallBytes, largeBytes := 0, 0
-	largeDue := time.Since(w.largeAt) >= largeEvery*w.interval
+	largeDue := time.Since(w.lastLargeBatch) >= largeBatchIntervals*w.interval
 	for _, p := range w.waiting {
 		n := sizeOf(&p.record)
 		switch {
-		case n < smallRecord && smallBytes+n < rowBytes:
+		case n < largeRecordBytes && smallBytes+n < maxRowBytes:
 			small, smallBytes = append(small, p), smallBytes+n
-		case n >= smallRecord && largeDue && largeBytes < batchBytes:
+		case n >= largeRecordBytes && largeDue && largeBytes < largeBatchBytes:
 			large, largeBytes = append(large, p), largeBytes+n
 		default:
-			left = append(left, p)
+			remaining = append(remaining, p)
 		}
 	}
-	w.waiting = left
+	w.waiting = remaining
 	if len(large) > 0 {
-		w.largeAt = time.Now()
+		w.lastLargeBatch = time.Now()
 	}
-	if len(left) > 0 {
+	if len(remaining) > 0 {
 		w.signal()
 	}
-	var out []*encoded
+	var out []*encodedBatch
 	for _, records := range [][]*Pending{small, large} {
 		if len(records) > 0 {
 			out = append(out, w.encode(records))
@@ -255,25 +275,28 @@
 	return out
 }
 
-func (w *Writer) encode(records []*Pending) *encoded {
+// encode returns the next batch, with records as its content. The caller must
+// hold w.mu.
+func (w *Writer) encode(records []*Pending) *encodedBatch {
 	b := Batch{Records: make([]Record, len(records))}
 	for i, p := range records {
 		b.Records[i] = p.record
 	}
 	raw, err := json.Marshal(&b)
 	if err != nil {
-		// Nothing in a record can fail to encode.
-		w.log.Error("journal batch not encoded", "err", err)
+		// Unreachable: all fields of a record can be encoded.
+		w.log.Error("journal batch not encoded; writing it without its records", "err", err)
 	}
-	w.next++
-	w.writing += len(records)
-	return &encoded{number: w.next, records: records, raw: raw}
+	w.lastBatch++
+	w.inFlightRecords += len(records)
+	return &encodedBatch{number: w.lastBatch, records: records, raw: raw}
 }
 
-// recordOverhead is about what a record takes besides its texts.
+// recordOverhead is the approximate encoded size in bytes of a record without
+// its texts.
 const recordOverhead = 400
 
-// sizeOf estimates a record's encoded size in bytes.
+// sizeOf returns an estimate of the encoded size of r in bytes.
 func sizeOf(r *Record) int {
 	n := recordOverhead + len(r.Checkpoint.Answer)
 	for _, m := range r.Checkpoint.Messages {
@@ -282,53 +305,58 @@
 	return n
 }
 
-// write writes one batch and reports whether the store took it before ctx
-// ended. A try whose answer was lost may have taken effect, or may yet: the
-// next try has the same name and content, so writing it twice is harmless.
-func (w *Writer) write(ctx context.Context, b *encoded) bool {
+// writeBatch writes b, retrying until it succeeds, and reports whether it did
+// before ctx was cancelled. An attempt whose response was lost may have taken
+// effect or may still do so. Writing b twice is harmless, because every attempt
+// has the same name and content.
+func (w *Writer) writeBatch(ctx context.Context, b *encodedBatch) bool {
 	key := batchKey(w.name, b.number)
-	pauses := retry.Backoff{First: retryFirst, Most: retryMost}
-	for try := 1; ; try++ {
-		at, err := w.put(ctx, key, b.raw)
+	backoff := retry.Backoff{First: initialRetryDelay, Most: maxRetryDelay}
+	for attempt := 1; ; attempt++ {
+		location, err := w.putBatch(ctx, key, b.raw)
 		if err == nil {
 			w.mu.Lock()
-			w.inStore[b.number] = at
+			w.locations[b.number] = location
 			w.mu.Unlock()
 			return true
 		}
-		w.log.Warn("journal batch not taken", "batch", key, "bytes", len(b.raw), "try", try, "err", err)
-		if !clock.Sleep(ctx, pauses.Next()) {
+		w.log.Warn("journal batch not written; retrying after a delay", "batch", key, "bytes", len(b.raw), "try", attempt, "err", err)
+		if !clock.Sleep(ctx, backoff.Next()) {
 			return false
 		}
 	}
 }
 
-func (w *Writer) put(ctx context.Context, key string, raw json.RawMessage) (place, error) {
-	if len(raw) > rowBytes {
-		return placeObject, w.platform.PutObject(ctx, key, raw)
+// putBatch makes one attempt to write a batch and returns the service it was
+// written to.
+func (w *Writer) putBatch(ctx context.Context, key string, raw json.RawMessage) (batchLocation, error) {
+	if len(raw) > maxRowBytes {
+		return locationObject, w.platform.PutObject(ctx, key, raw)
 	}
 	_, err := w.platform.Put(ctx, key, raw, 0)
 	if tableservice.Is(err, tableservice.FailureConflict) {
-		// An earlier try took effect and its answer was lost: nobody else
-		// writes this journal.
+		// An earlier attempt took effect and its response was lost, since no
+		// other process writes this journal.
 		err = nil
 	}
-	return placeTable, err
+	return locationTable, err
 }
 
-func (w *Writer) committed(b *encoded) {
+// markDurable updates the counts and references for b, which the store has
+// accepted, and closes the Durable channels of its records.
+func (w *Writer) markDurable(b *encodedBatch) {
 	records := make([]Record, len(b.records))
 	for i, p := range b.records {
 		records[i] = p.record
 	}
 	w.mu.Lock()
-	w.writing -= len(records)
+	w.inFlightRecords -= len(records)
 	w.stats.Batches++
 	w.stats.Records += len(records)
-	if w.inStore[b.number] == placeObject {
+	if w.locations[b.number] == locationObject {
 		w.stats.Objects++
 	}
-	w.unused = append(w.unused, w.pins.add(b.number, records)...)
+	w.unused = append(w.unused, w.references.add(b.number, records)...)
 	w.mu.Unlock()
 	for _, p := range b.records {
 		close(p.durable)
--- a/journal/writer_bench_test.go
+++ b/journal/writer_bench_test.go
@@ -10,9 +10,10 @@
 	"github.com/wagtaildrum/wagtaildrum/program"
 )
 
-// BenchmarkBatch measures the processor time and bytes per turn of putting
-// turns into batches, as the turns due in one interval grow: what journaling
-// costs an entry. A turn is 250 words in and out.
+// BenchmarkBatch measures the cost of journaling to an entry instance: the
+// processor time and encoded bytes per turn of collecting turns into batches, as
+// the number of turns due in one interval grows. A turn has 250 words of input
+// and output.
 func BenchmarkBatch(b *testing.B) {
 	text := strings.Repeat("voyage ", 125)
 	for _, n := range []int{1, 10, 100} {
@@ -27,10 +28,10 @@
 					w.Append(Record{Program: program.ID(fmt.Sprint("p", i)), Epoch: 1, Checkpoint: c})
 				}
 				bytes = 0
-				for batches := w.take(); len(batches) > 0; batches = w.take() {
+				for batches := w.takeBatches(); len(batches) > 0; batches = w.takeBatches() {
 					for _, e := range batches {
 						bytes += len(e.raw)
-						w.committed(e)
+						w.markDurable(e)
 					}
 				}
 			}
