--- a/peer/client.go
+++ b/peer/client.go
@@ -60,7 +60,8 @@
 
 // conn returns a connection to addr, dialling one if there is none, and a
 // function to call at the end of the call that uses it. It returns an error if
-// the dial fails.
+// the dial fails. If several calls dial at the same time, the last connection is
+// kept for later calls; an earlier one is closed here only if it is unused.
 func (c *Client) conn(ctx context.Context, addr string) (*quic.Conn, func(), error) {
 	if cc := c.acquireOpen(addr); cc != nil {
 		return cc.conn, func() { c.release(cc) }, nil
--- a/sidecar/sidecar.go
+++ b/sidecar/sidecar.go
@@ -58,8 +58,9 @@
 	failed     tally.Counter
 }
 
-// New returns a sidecar for the endpoint in s, which must be valid settings. It
-// registers its counters in scope.
+// New returns a sidecar for the endpoint in s, which must be valid settings. An
+// unknown order of waiting calls is replaced by that of the oldest program. The
+// sidecar registers its counters in scope.
 func New(s *settings.Sidecar, clk clock.Clock, log *slog.Logger, scope tally.Scope) *Sidecar {
 	// Keep one idle connection per concurrent call. With the default of two, a
 	// connection would be opened and closed for nearly every call.
