--- a/tableservice/client.go
+++ b/tableservice/client.go
@@ -13,90 +13,101 @@
 	"github.com/wagtaildrum/wagtaildrum/retry"
 )
 
+// keyQuery holds the query parameter of a call for one key.
 type keyQuery struct {
 	Key string `url:"key"`
 }
 
+// keysQuery holds the repeated query parameter of a call for several keys.
 type keysQuery struct {
 	Keys []string `url:"key"`
 }
 
+// prefixQuery holds the query parameter of a call for all keys with a prefix.
 type prefixQuery struct {
 	Prefix string `url:"prefix"`
 }
 
-// Client calls the platform's services at one base URL.
+// Client calls the platform's services at one base URL. It is safe for
+// concurrent use.
 type Client struct {
 	base *sling.Sling
 }
 
-// NewClient returns a client for the platform at baseURL. Every call is
-// bounded by timeout: a slow platform must not hold a caller past its due.
+// NewClient returns a client for the platform at baseURL. Each HTTP request
+// fails after timeout, because a slow platform must not delay a caller
+// beyond its deadline.
 func NewClient(baseURL string, timeout time.Duration) *Client {
-	hc := &http.Client{Timeout: timeout}
-	return &Client{base: sling.New().Client(hc).Base(baseURL)}
+	httpClient := &http.Client{Timeout: timeout}
+	return &Client{base: sling.New().Client(httpClient).Base(baseURL)}
 }
 
-// Throttled calls are tried again within throttledFor, after pauses of at
-// most throttledMost.
+// A throttled call is retried for throttleRetryPeriod. The delay before a
+// retry starts at throttleInitialDelay and grows to throttleMaxDelay.
 const (
-	throttledFor   = time.Second
-	throttledFirst = 10 * time.Millisecond
-	throttledMost  = 100 * time.Millisecond
+	throttleRetryPeriod  = time.Second
+	throttleInitialDelay = 10 * time.Millisecond
+	throttleMaxDelay     = 100 * time.Millisecond
 )
 
-// do makes one call. A call that the platform refuses for coming too fast
-// had no effect, so it is tried again a few times: in a burst the rate is
-// passed for moments, and giving up at once would send callers away for
-// seconds.
+// do sends the request s and decodes the response into out, which may be
+// nil. A throttled call had no effect and is retried with backoff for
+// throttleRetryPeriod: a burst exceeds the platform's rate limit only
+// briefly, whereas a caller whose request is rejected comes back only after
+// seconds. do returns the error of the last attempt, an *Error that names
+// op and key.
 func (c *Client) do(ctx context.Context, op, key string, s *sling.Sling, out any) error {
-	pauses := retry.Backoff{First: throttledFirst, Most: throttledMost}
-	for end := time.Now().Add(throttledFor); ; {
-		err := c.once(ctx, op, key, s, out)
-		if !Is(err, FailureThrottled) || time.Now().After(end) {
+	backoff := retry.Backoff{First: throttleInitialDelay, Most: throttleMaxDelay}
+	for deadline := time.Now().Add(throttleRetryPeriod); ; {
+		err := c.doOnce(ctx, op, key, s, out)
+		if !Is(err, FailureThrottled) || time.Now().After(deadline) {
 			return err
 		}
-		if !clock.Sleep(ctx, pauses.Next()) {
+		if !clock.Sleep(ctx, backoff.Next()) {
 			return err
 		}
 	}
 }
 
-func (c *Client) once(ctx context.Context, op, key string, s *sling.Sling, out any) error {
+// doOnce sends the request s a single time and maps the response status to
+// an *Error.
+func (c *Client) doOnce(ctx context.Context, op, key string, s *sling.Sling, out any) error {
 	req, err := s.Request()
 	if err != nil {
 		return &Error{failure: FailureBadAnswer, op: op, key: key, detail: err.Error()}
 	}
 	req = req.WithContext(ctx)
-	var fail ErrorBody
-	resp, err := c.base.Do(req, out, &fail) //nolint:bodyclose // sling closes the body once decoded
+	var errBody ErrorBody
+	resp, err := c.base.Do(req, out, &errBody) //nolint:bodyclose // sling closes the body once decoded
 	if err != nil {
-		// A lost answer after the write took effect shows here too; the
-		// caller reads back before deciding (see FailureUnavailable).
+		// The response may have been lost after the write took effect. The
+		// caller must read the record back (see FailureUnavailable).
 		return &Error{failure: FailureUnavailable, op: op, key: key, detail: err.Error()}
 	}
 	switch resp.StatusCode {
 	case http.StatusOK:
 		return nil
 	case http.StatusNotFound:
-		return &Error{failure: FailureNotFound, op: op, key: key, detail: fail.Error}
+		return &Error{failure: FailureNotFound, op: op, key: key, detail: errBody.Error}
 	case http.StatusTooManyRequests:
-		return &Error{failure: FailureThrottled, op: op, key: key, detail: fail.Error}
+		return &Error{failure: FailureThrottled, op: op, key: key, detail: errBody.Error}
 	case http.StatusConflict:
-		return &Error{failure: FailureConflict, op: op, key: key, current: fail.Version, detail: fail.Error}
+		return &Error{failure: FailureConflict, op: op, key: key, currentVersion: errBody.Version, detail: errBody.Error}
 	}
-	return &Error{failure: FailureUnavailable, op: op, key: key, detail: resp.Status + " " + fail.Error}
+	return &Error{failure: FailureUnavailable, op: op, key: key, detail: resp.Status + " " + errBody.Error}
 }
 
-// Get reads the record at key; a missing key is a FailureNotFound.
+// Get returns the record at key. It fails with FailureNotFound if there is
+// no record.
 func (c *Client) Get(ctx context.Context, key string) (Record, error) {
 	var r Record
 	err := c.do(ctx, "get", key, c.base.New().Get("table").QueryStruct(keyQuery{key}), &r)
 	return r, err
 }
 
-// Put writes value at key if its version is still expect, returning the new
-// version. A FailureConflict carries the current version.
+// Put writes value as JSON at key if the record's version equals expect, and
+// returns the new version. Otherwise it fails with FailureConflict, and the
+// *Error holds the current version.
 func (c *Client) Put(ctx context.Context, key string, value any, expect uint64) (uint64, error) {
 	raw, err := json.Marshal(value)
 	if err != nil {
@@ -108,8 +119,9 @@
 	return pr.Version, err
 }
 
-// PutOp returns the step of a transaction that writes value at key if its
-// version is still expect.
+// PutOp returns a transaction operation that writes value as JSON at key if
+// the record's version equals expect. It fails with FailureBadAnswer if
+// value cannot be encoded.
 func PutOp(key string, value any, expect uint64) (TxOp, error) {
 	raw, err := json.Marshal(value)
 	if err != nil {
@@ -118,31 +130,33 @@
 	return TxOp{Key: key, Value: raw, ExpectVersion: expect}, nil
 }
 
-// Tx makes all of ops take effect, or none. A FailureConflict carries the
-// current version of the first record that was not as expected.
+// Tx applies ops, of which there must be at least one, atomically. If a
+// record's version is not the expected one, Tx fails with FailureConflict,
+// and the *Error holds the current version of the first such record.
 func (c *Client) Tx(ctx context.Context, ops ...TxOp) error {
 	return c.do(ctx, "tx", ops[0].Key, c.base.New().Post("tx").BodyJSON(TxRequest{Ops: ops}), nil)
 }
 
-// Delete deletes the records at keys, whatever their versions, in one
-// transaction; a missing one is no error.
+// Delete deletes the records at keys in one transaction, without checking
+// their versions. A missing record is not an error.
 func (c *Client) Delete(ctx context.Context, keys ...string) error {
 	return c.do(ctx, "delete", strings.Join(keys, " "), c.base.New().Delete("table").QueryStruct(keysQuery{keys}), nil)
 }
 
-// Scan lists the records whose keys start with prefix.
+// Scan returns the records whose keys start with prefix, in key order.
 func (c *Client) Scan(ctx context.Context, prefix string) ([]Record, error) {
 	var sr ScanResponse
 	err := c.do(ctx, "scan", prefix, c.base.New().Get("scan").QueryStruct(prefixQuery{prefix}), &sr)
 	return sr.Records, err
 }
 
-// PutObject stores value as the object named key.
+// PutObject stores value as JSON in the object named key.
 func (c *Client) PutObject(ctx context.Context, key string, value any) error {
 	return c.do(ctx, "put-object", key, c.base.New().Put("objects").QueryStruct(keyQuery{key}).BodyJSON(value), nil)
 }
 
-// GetObject reads the object named key into out.
+// GetObject decodes the JSON object named key into out. It fails with
+// FailureNotFound if there is no such object.
 func (c *Client) GetObject(ctx context.Context, key string, out any) error {
 	return c.do(ctx, "get-object", key, c.base.New().Get("objects").QueryStruct(keyQuery{key}), out)
 }
@@ -155,20 +169,21 @@
 	return or.Names, err
 }
 
-// DropObject deletes the object named key; a missing one is no error.
+// DropObject deletes the object named key. A missing object is not an error.
 func (c *Client) DropObject(ctx context.Context, key string) error {
 	return c.do(ctx, "drop-object", key, c.base.New().Delete("objects").QueryStruct(keyQuery{key}), nil)
 }
 
-// Instances returns the instance list as the platform last saw it; it lags
-// behind the truth.
+// Instances returns the platform's instance list. The list is stale: it lags
+// behind the states that instances have recorded.
 func (c *Client) Instances(ctx context.Context) ([]Instance, error) {
 	var ir InstancesResponse
 	err := c.do(ctx, "instances", "", c.base.New().Get("instances"), &ir)
 	return ir.Instances, err
 }
 
-// SetInstance records an instance's state in the list.
+// SetInstance records the address and state of an instance in the platform's
+// instance list.
 func (c *Client) SetInstance(ctx context.Context, in Instance) error {
 	return c.do(ctx, "set-instance", in.ID, c.base.New().Put("instances").BodyJSON(in), nil)
 }
--- a/tableservice/doc.go
+++ b/tableservice/doc.go
@@ -1,5 +1,6 @@
-// Package tableservice is the client of the platform's services that
-// wagtaildrum keeps its lasting state in: the transactional table service
-// (get, compare-and-set on a version, scan by prefix), the object store,
-// and the lagging instance list. It speaks their HTTP protocol via sling.
+// Package tableservice is a client for the platform services that hold
+// wagtaildrum's durable state: the transactional table service (get,
+// compare-and-set on a version, scan by prefix), the object store, and the
+// instance list, which is eventually consistent. The client uses the
+// platform's HTTP protocol.
 package tableservice
--- a/tableservice/errors.go
+++ b/tableservice/errors.go
@@ -7,44 +7,48 @@
 
 //go:generate stringer -type=Failure -trimprefix=Failure
 
-// Failures of a platform call.
+// Kinds of failure of a platform call.
 const (
-	// FailureUnavailable: the call failed or its answer was lost. For a
-	// write, the write may or may not have taken effect: read it back.
+	// FailureUnavailable means that the call failed or its response was
+	// lost. A write may or may not have taken effect, so the caller must
+	// read the record back.
 	FailureUnavailable Failure = iota
-	// FailureConflict: a conditional put found another version.
+	// FailureConflict means that a conditional put found a version other
+	// than the expected one.
 	FailureConflict
-	// FailureNotFound: no such key.
+	// FailureNotFound means that there is no record or object with the key.
 	FailureNotFound
-	// FailureThrottled: the platform refused the call for coming too fast;
-	// it had no effect.
+	// FailureThrottled means that the platform rejected the call because it
+	// exceeded the rate limit. The call had no effect.
 	FailureThrottled
-	// FailureBadAnswer: the platform answered something undecodable.
+	// FailureBadAnswer means that a request could not be built, for example
+	// because its value has no JSON encoding.
 	FailureBadAnswer
 )
 
-// Error is a failed platform call.
+// Error is the error returned by a failed platform call.
 type Error struct {
 	failure Failure
 	op      string
 	key     string
-	// current is the version found, for FailureConflict.
-	current uint64
-	detail  string
+	// currentVersion is the record's version for FailureConflict, otherwise 0.
+	currentVersion uint64
+	detail         string
 }
 
 // Failure returns the kind of failure.
 func (e *Error) Failure() Failure { return e.failure }
 
-// Current returns the version found by a conflicting put.
-func (e *Error) Current() uint64 { return e.current }
+// Current returns the record's version that a put or transaction conflicted
+// with, or 0 for other kinds of failure.
+func (e *Error) Current() uint64 { return e.currentVersion }
 
-// Error returns "platform OP KEY: FAILURE: DETAIL".
+// Error returns a message of the form "platform OP KEY: FAILURE: DETAIL".
 func (e *Error) Error() string {
 	return fmt.Sprintf("platform %s %s: %s: %s", e.op, e.key, e.failure, e.detail)
 }
 
-// Is reports whether err is a platform *Error of failure f.
+// Is reports whether err is an *Error of kind f. It does not unwrap err.
 func Is(err error, f Failure) bool {
 	pe, ok := err.(*Error)
 	return ok && pe.failure == f
--- a/tableservice/message.go
+++ b/tableservice/message.go
@@ -2,23 +2,24 @@
 
 import "encoding/json"
 
-// Record is one row of the table service. Version starts at 1 and grows by
-// one with every write; a key never written has version 0.
+// Record is a row of the table service. Version is 1 after the first write
+// and increases by one with each write. A key without a record has version 0.
 type Record struct {
 	Key     string          `json:"key"`
 	Value   json.RawMessage `json:"value"`
 	Version uint64          `json:"version"`
 }
 
-// PutRequest is the body of a conditional put: the write succeeds only if
-// the record's version is still ExpectVersion (0: the key must be absent).
+// PutRequest is the request body of a conditional put. The write succeeds
+// only if the record's version equals ExpectVersion; 0 requires that there
+// is no record at the key.
 type PutRequest struct {
 	Value         json.RawMessage `json:"value"`
 	ExpectVersion uint64          `json:"expect_version"`
 }
 
-// TxOp is one step of a transaction: a conditional put, or with Delete set
-// the deletion of a record.
+// TxOp is an operation of a transaction: a conditional put, or, if Delete is
+// set, the unconditional deletion of a record.
 type TxOp struct {
 	Key           string          `json:"key"`
 	Value         json.RawMessage `json:"value,omitempty"`
@@ -26,50 +27,56 @@
 	Delete        bool            `json:"delete,omitempty"`
 }
 
-// TxRequest is the body of a transaction: all of its steps take effect, or
-// none.
+// TxRequest is the request body of a transaction. Either all of its
+// operations take effect or none.
 type TxRequest struct {
 	Ops []TxOp `json:"ops"`
 }
 
-// PutResponse answers a put: the new version, or on conflict the current.
+// PutResponse is the response body of a successful put and holds the
+// record's new version.
 type PutResponse struct {
 	Version uint64 `json:"version"`
 }
 
-// ScanResponse lists the records under a prefix, in key order.
+// ScanResponse is the response body of a scan and holds the matching records
+// in key order.
 type ScanResponse struct {
 	Records []Record `json:"records"`
 }
 
-// ObjectsResponse lists object names under a prefix, in order.
+// ObjectsResponse is the response body of an object listing and holds the
+// matching names in lexical order.
 type ObjectsResponse struct {
 	Names []string `json:"names"`
 }
 
-// InstanceState is an instance's state in the instance list.
+// InstanceState is the state that an instance has in the instance list.
 type InstanceState string
 
-// Instance states.
+// States of an instance.
 const (
-	InstanceLive    InstanceState = "live"
+	// InstanceLive is the state of an instance that accepts work.
+	InstanceLive InstanceState = "live"
+	// InstanceLeaving is the state of an instance that is shutting down.
 	InstanceLeaving InstanceState = "leaving"
 )
 
-// Instance is one row of the instance list.
+// Instance is an entry of the instance list.
 type Instance struct {
 	ID      string        `json:"id"`
 	Address string        `json:"address"`
 	State   InstanceState `json:"state"`
 }
 
-// InstancesResponse is the instance list as the platform last saw it.
+// InstancesResponse is the response body of an instance listing, which may be
+// stale.
 type InstancesResponse struct {
 	Instances []Instance `json:"instances"`
 }
 
-// ErrorBody is the platform's error answer. Version is the current
-// version, on a conflict.
+// ErrorBody is the response body of a failed call. Version is the record's
+// current version after a conflict, otherwise 0.
 type ErrorBody struct {
 	Error   string `json:"error"`
 	Version uint64 `json:"version,omitempty"`
