--- a/workload/doc.go
+++ b/workload/doc.go
@@ -1,5 +1,5 @@
-// Package workload plays scripted agent programs against an entry
-// instance, as a caller would, and records the whole session: every
-// request and answer in sequence order, with times left out so that a
-// session can be compared with a golden file.
+// Package workload runs scripted agent programs against an entry instance
+// over its public HTTP API and records the session: every request and
+// response, in sequence order. The JSON form of a session holds no times, so
+// it can be compared with a golden file.
 package workload
--- a/workload/player.go
+++ b/workload/player.go
@@ -15,11 +15,12 @@
 	"github.com/wagtaildrum/wagtaildrum/caller"
 )
 
-// maxRetries bounds how often the player sends a refused call again.
+// maxRetries is the maximum number of retries of a rejected call.
 const maxRetries = 20
 
-// Entry is one exchange of a session.
-type Entry struct {
+// Exchange is a call of a program with its final response. If the program
+// could not be created, the Exchange has no call, and Error holds the reason.
+type Exchange struct {
 	Program  string              `json:"program"`
 	Sequence uint64              `json:"sequence"`
 	Request  caller.Call         `json:"request"`
@@ -29,81 +30,90 @@
 	Retries  int                 `json:"retries,omitempty"`
 }
 
-// Outcome is how one program ended.
+// Outcome summarises the run of a program: the number of calls, the number of
+// failures, and the program's state after its last call.
 type Outcome struct {
 	Program string              `json:"program"`
 	Calls   int                 `json:"calls"`
 	Failed  int                 `json:"failed"`
 	Final   caller.ProgramState `json:"final"`
-	// Latency is the whole program's time, first call to last answer.
+	// Latency is the time from the request that creates the program to the
+	// end of its last call and its spawned programs.
 	Latency time.Duration `json:"-"`
 }
 
-// Session is what playing a script recorded.
+// Session is the record of the run of a script. Its exchanges are ordered by
+// program and sequence number, its outcomes by program.
 type Session struct {
-	Script   string    `json:"script"`
-	Entries  []Entry   `json:"entries"`
-	Outcomes []Outcome `json:"outcomes"`
+	Script   string     `json:"script"`
+	Entries  []Exchange `json:"entries"`
+	Outcomes []Outcome  `json:"outcomes"`
 }
 
-// Player plays scripts against the entry at a base URL.
+// Player runs scripts against an entry instance. It runs one script at a
+// time.
 type Player struct {
-	api *sling.Sling
-	mu  sync.Mutex
-	ses *Session
+	client  *sling.Sling
+	mu      sync.Mutex
+	session *Session
 }
 
-// NewPlayer returns a player for the entry instance at baseURL.
+// NewPlayer returns a Player for the entry instance at baseURL.
 func NewPlayer(baseURL string) *Player {
-	return &Player{api: sling.New().Client(&http.Client{Timeout: 60 * time.Second}).Base(baseURL)}
+	return &Player{client: sling.New().Client(&http.Client{Timeout: 60 * time.Second}).Base(baseURL)}
 }
 
-// Play runs every program of s that is not spawned, and the ones they
-// spawn, and returns the session ordered by program and sequence.
+// Play runs the programs of s concurrently, spawned programs from the step
+// that spawns them, and returns the ordered session once all have ended.
+// Failed calls are recorded in the session.
 func (pl *Player) Play(ctx context.Context, s *Script) *Session {
-	pl.ses = &Session{Script: s.Name}
+	pl.session = &Session{Script: s.Name}
 	var wg sync.WaitGroup
 	for i := range s.Programs {
 		if !s.Programs[i].Spawned {
-			wg.Go(func() { pl.run(ctx, s, &s.Programs[i]) })
+			wg.Go(func() { pl.runProgram(ctx, s, &s.Programs[i]) })
 		}
 	}
 	wg.Wait()
-	slices.SortFunc(pl.ses.Entries, func(a, b Entry) int {
+	slices.SortFunc(pl.session.Entries, func(a, b Exchange) int {
 		if c := strings.Compare(a.Program, b.Program); c != 0 {
 			return c
 		}
 		return int(a.Sequence) - int(b.Sequence)
 	})
-	slices.SortFunc(pl.ses.Outcomes, func(a, b Outcome) int { return strings.Compare(a.Program, b.Program) })
-	return pl.ses
+	slices.SortFunc(pl.session.Outcomes, func(a, b Outcome) int { return strings.Compare(a.Program, b.Program) })
+	return pl.session
 }
 
-func (pl *Player) record(e Entry) {
+// recordExchange appends e to the session.
+func (pl *Player) recordExchange(e Exchange) {
 	pl.mu.Lock()
 	defer pl.mu.Unlock()
-	pl.ses.Entries = append(pl.ses.Entries, e)
+	pl.session.Entries = append(pl.session.Entries, e)
 }
 
-func (pl *Player) run(ctx context.Context, s *Script, p *Program) {
+// runProgram creates program p of script s, makes its calls in order, waits
+// for the programs it spawned, and deletes it. It makes no further calls
+// after an unknown outcome or once the program is over budget.
+func (pl *Player) runProgram(ctx context.Context, s *Script, p *Program) {
 	start := time.Now()
-	out := Outcome{Program: p.ID}
-	create := caller.CreateProgram{ID: p.ID, BudgetTokens: p.BudgetTokens, Urgency: p.Urgency, Deadline: p.Deadline, NonIdempotentTools: p.NonIdempotentTools}
-	var st caller.ProgramState
-	var fail caller.ErrorBody
-	resp, err := pl.api.New().Post("v1/programs").BodyJSON(create).Receive(&st, &fail) //nolint:bodyclose // closed by sling
+	outcome := Outcome{Program: p.ID}
+	request := caller.CreateProgram{ID: p.ID, BudgetTokens: p.BudgetTokens, Urgency: p.Urgency, Deadline: p.Deadline, NonIdempotentTools: p.NonIdempotentTools}
+	var state caller.ProgramState
+	var errBody caller.ErrorBody
+	resp, err := pl.client.New().Post("v1/programs").BodyJSON(request).Receive(&state, &errBody) //nolint:bodyclose // closed by sling
 	if err != nil || resp.StatusCode != http.StatusCreated {
-		pl.record(Entry{Program: p.ID, Status: statusOf(resp), Error: &fail.Error})
-		out.Failed++
-		pl.finishOutcome(out)
+		pl.recordExchange(Exchange{Program: p.ID, Status: statusCode(resp), Error: &errBody.Error})
+		outcome.Failed++
+		pl.recordOutcome(outcome)
 		return
 	}
 	var spawned sync.WaitGroup
 	seq := uint64(0)
 	for _, step := range p.Steps {
 		if step.Kind == "spawn" {
-			child := s.find(step.Program)
-			spawned.Go(func() { pl.run(ctx, s, child) })
+			child := s.program(step.Program)
+			spawned.Go(func() { pl.runProgram(ctx, s, child) })
 			continue
 		}
 		seq++
@@ -113,62 +123,67 @@
 			call.Arguments = json.RawMessage(step.Arguments)
 		}
 		e := pl.call(ctx, p.ID, call)
-		pl.record(e)
-		out.Calls++
+		pl.recordExchange(e)
+		outcome.Calls++
 		if e.Error != nil {
-			out.Failed++
+			outcome.Failed++
 			if e.Error.Type == caller.TypeOutcomeUnknown || e.Error.Type == caller.TypeOverBudget {
 				break
 			}
 		}
 	}
 	spawned.Wait()
-	out.Latency = time.Since(start)
-	_, _ = pl.api.New().Get("v1/programs/"+p.ID).Receive(&out.Final, nil) //nolint:bodyclose // closed by sling
-	_, _ = pl.api.New().Delete("v1/programs/"+p.ID).Receive(nil, nil)     //nolint:bodyclose // closed by sling
-	pl.finishOutcome(out)
+	outcome.Latency = time.Since(start)
+	_, _ = pl.client.New().Get("v1/programs/"+p.ID).Receive(&outcome.Final, nil) //nolint:bodyclose // closed by sling
+	_, _ = pl.client.New().Delete("v1/programs/"+p.ID).Receive(nil, nil)         //nolint:bodyclose // closed by sling
+	pl.recordOutcome(outcome)
 }
 
-func (pl *Player) finishOutcome(o Outcome) {
+// recordOutcome appends o to the session.
+func (pl *Player) recordOutcome(o Outcome) {
 	pl.mu.Lock()
 	defer pl.mu.Unlock()
-	pl.ses.Outcomes = append(pl.ses.Outcomes, o)
+	pl.session.Outcomes = append(pl.session.Outcomes, o)
 }
 
-// call sends one call, coming back after Retry-After while the entry
-// refuses it as not run.
-func (pl *Player) call(ctx context.Context, id string, c caller.Call) Entry {
-	e := Entry{Program: id, Sequence: c.Sequence, Request: c}
+// call sends the call c of program id and returns the exchange. A response
+// with a Retry-After header means that the call was not run, and call sends
+// it again after that delay, at most maxRetries times.
+func (pl *Player) call(ctx context.Context, id string, c caller.Call) Exchange {
+	e := Exchange{Program: id, Sequence: c.Sequence, Request: c}
 	for attempt := 0; ; attempt++ {
-		var ans caller.Answer
-		var fail caller.ErrorBody
-		resp, err := pl.api.New().Post("v1/programs/"+id+"/calls").BodyJSON(c).Receive(&ans, &fail) //nolint:bodyclose // closed by sling
-		e.Status = statusOf(resp)
+		var answer caller.Answer
+		var errBody caller.ErrorBody
+		resp, err := pl.client.New().Post("v1/programs/"+id+"/calls").BodyJSON(c).Receive(&answer, &errBody) //nolint:bodyclose // closed by sling
+		e.Status = statusCode(resp)
 		if err == nil && e.Status == http.StatusOK {
-			e.Answer, e.Error = &ans, nil
+			e.Answer, e.Error = &answer, nil
 			return e
 		}
-		e.Error = &fail.Error
-		after := retryAfter(resp)
-		if after == 0 || attempt >= maxRetries || ctx.Err() != nil {
+		e.Error = &errBody.Error
+		delay := retryAfter(resp)
+		if delay == 0 || attempt >= maxRetries || ctx.Err() != nil {
 			return e
 		}
 		e.Retries++
 		select {
 		case <-ctx.Done():
 			return e
-		case <-time.After(after):
+		case <-time.After(delay):
 		}
 	}
 }
 
-func statusOf(resp *http.Response) int {
+// statusCode returns the status code of resp, or 0 if resp is nil.
+func statusCode(resp *http.Response) int {
 	if resp == nil {
 		return 0
 	}
 	return resp.StatusCode
 }
 
+// retryAfter returns the delay in the Retry-After header of resp, or 0 if
+// resp is nil or the header is missing or not a number of seconds.
 func retryAfter(resp *http.Response) time.Duration {
 	if resp == nil {
 		return 0
