--- a/standin/cache.go
+++ b/standin/cache.go
@@ -8,87 +8,96 @@
 	"github.com/wagtaildrum/wagtaildrum/engine"
 )
 
-// maxEvents bounds the published cache events kept for readers.
-const maxEvents = 1 << 16
+// maxRetainedEvents is the maximum number of cache events kept for readers.
+// Once it is exceeded, only the newest half of that number is kept.
+const maxRetainedEvents = 1 << 16
 
-// prefixCache is an engine's prefix cache: blocks named by the hash of
-// every token up to their end (engine.BlockHashes), evicted least recently
-// used first when more than capacity blocks are held. Its events are
-// published lag late, and lossPercent of them never.
+// prefixCache is the prefix cache of an engine. It holds at most capacity
+// blocks and evicts the least recently used ones. A block is identified by
+// the hash of all tokens up to its end (see engine.BlockHashes). Events are
+// published after a delay of lag, and lossPercent of them are never
+// published.
 type prefixCache struct {
-	capacity    int
-	order       *list.List
-	blocks      map[uint64]*list.Element
-	evicted     int64
-	lag         time.Duration
-	lossPercent int
-	rng         *rand.Rand
-	seq         uint64
-	events      []timedEvent
+	capacity     int
+	recency      *list.List
+	blocks       map[uint64]*list.Element
+	evicted      int64
+	lag          time.Duration
+	lossPercent  int
+	rng          *rand.Rand
+	lastSequence uint64
+	events       []timedEvent
 }
 
+// timedEvent is a cache event with its creation time. A lost event is never
+// published.
 type timedEvent struct {
-	at    time.Time
-	lost  bool
-	event engine.CacheEvent
+	createdAt time.Time
+	lost      bool
+	event     engine.CacheEvent
 }
 
+// newPrefixCache returns an empty cache. The choice of lost events has a
+// fixed seed, so the same sequence of events loses the same ones.
 func newPrefixCache(capacity int, lag time.Duration, lossPercent int) *prefixCache {
-	return &prefixCache{capacity: capacity, order: list.New(), blocks: map[uint64]*list.Element{},
+	return &prefixCache{capacity: capacity, recency: list.New(), blocks: map[uint64]*list.Element{},
 		lag: lag, lossPercent: lossPercent, rng: rand.New(rand.NewPCG(uint64(capacity), 7))}
 }
 
-// lookup returns how many leading blocks of hashes are held, and marks them
-// used.
+// lookup returns the number of leading blocks of hashes that are in the
+// cache, and marks them as recently used.
 func (c *prefixCache) lookup(hashes []uint64) int {
 	for i, h := range hashes {
 		el, ok := c.blocks[h]
 		if !ok {
 			return i
 		}
-		c.order.MoveToFront(el)
+		c.recency.MoveToFront(el)
 	}
 	return len(hashes)
 }
 
-// insert holds every block of hashes, evicting others if need be.
+// insert adds the blocks of hashes and evicts the least recently used blocks
+// beyond the capacity.
 func (c *prefixCache) insert(hashes []uint64, now time.Time) {
-	// Last block first, so that a prefix is used more recently than what
-	// follows it and is evicted after it.
+	// The last block comes first, so that a prefix counts as more recently
+	// used than the blocks that extend it and is evicted after them.
 	for i := len(hashes) - 1; i >= 0; i-- {
 		h := hashes[i]
 		if el, ok := c.blocks[h]; ok {
-			c.order.MoveToFront(el)
+			c.recency.MoveToFront(el)
 			continue
 		}
-		c.blocks[h] = c.order.PushFront(h)
-		c.publish(engine.CacheStored, h, now)
+		c.blocks[h] = c.recency.PushFront(h)
+		c.addEvent(engine.CacheStored, h, now)
 	}
-	for c.order.Len() > c.capacity {
-		last := c.order.Back()
+	for c.recency.Len() > c.capacity {
+		last := c.recency.Back()
 		h := last.Value.(uint64)
 		delete(c.blocks, h)
-		c.order.Remove(last)
+		c.recency.Remove(last)
 		c.evicted++
-		c.publish(engine.CacheRemoved, h, now)
+		c.addEvent(engine.CacheRemoved, h, now)
 	}
 }
 
-func (c *prefixCache) publish(kind engine.CacheEventKind, block uint64, now time.Time) {
-	c.seq++
-	c.events = append(c.events, timedEvent{at: now, lost: c.rng.IntN(100) < c.lossPercent,
-		event: engine.CacheEvent{Sequence: c.seq, Kind: kind, Block: block}})
-	if len(c.events) > maxEvents {
-		c.events = append(c.events[:0], c.events[len(c.events)-maxEvents/2:]...)
+// addEvent appends an event for block, created at now.
+func (c *prefixCache) addEvent(kind engine.CacheEventKind, block uint64, now time.Time) {
+	c.lastSequence++
+	c.events = append(c.events, timedEvent{createdAt: now, lost: c.rng.IntN(100) < c.lossPercent,
+		event: engine.CacheEvent{Sequence: c.lastSequence, Kind: kind, Block: block}})
+	if len(c.events) > maxRetainedEvents {
+		c.events = append(c.events[:0], c.events[len(c.events)-maxRetainedEvents/2:]...)
 	}
 }
 
-// eventsAfter returns the events after sequence number after that are old
-// enough to be published and were not lost.
+// eventsAfter returns the published events whose sequence number is greater
+// than after, and the highest sequence number among published and lost
+// events, so that a reader can detect a gap.
 func (c *prefixCache) eventsAfter(after uint64, now time.Time) engine.CacheEvents {
 	out := engine.CacheEvents{Events: []engine.CacheEvent{}, Published: after}
 	for _, e := range c.events {
-		if now.Sub(e.at) < c.lag {
+		if now.Sub(e.createdAt) < c.lag {
 			break
 		}
 		if e.event.Sequence <= after {
@@ -102,12 +111,15 @@
 	return out
 }
 
+// snapshot returns the hashes of all blocks in the cache and the sequence
+// number of the last event.
 func (c *prefixCache) snapshot() engine.CacheBlocks {
-	out := engine.CacheBlocks{Sequence: c.seq, Blocks: make([]uint64, 0, len(c.blocks))}
+	out := engine.CacheBlocks{Sequence: c.lastSequence, Blocks: make([]uint64, 0, len(c.blocks))}
 	for h := range c.blocks {
 		out.Blocks = append(out.Blocks, h)
 	}
 	return out
 }
 
-func (c *prefixCache) len() int { return c.order.Len() }
+// len returns the number of blocks in the cache.
+func (c *prefixCache) len() int { return c.recency.Len() }
--- a/standin/faults.go
+++ b/standin/faults.go
@@ -10,67 +10,74 @@
 	"github.com/wagtaildrum/wagtaildrum/tableservice"
 )
 
-// locked runs f with the platform's lock held.
-func (p *Platform) locked(f func()) {
+// withLock calls f with p.mu held.
+func (p *Platform) withLock(f func()) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	f()
 }
 
-// SetOutage makes every call fail with 503 while on is true.
-func (p *Platform) SetOutage(on bool) { p.locked(func() { p.outage = on }) }
+// SetOutage starts an outage, in which every call fails with status 503, or
+// ends it if on is false.
+func (p *Platform) SetOutage(on bool) { p.withLock(func() { p.outage = on }) }
 
-// LoseAcks makes the next n writes take effect and then answer 503, as a
-// platform whose answer is lost after the write committed.
-func (p *Platform) LoseAcks(n int) { p.locked(func() { p.lostAcks = n }) }
+// LoseAcks makes the next n writes take effect but respond with status 503,
+// which simulates a response lost after the commit.
+func (p *Platform) LoseAcks(n int) { p.withLock(func() { p.lostResponses = n }) }
 
-// FailReads makes the next n reads of leases fail with 503.
-func (p *Platform) FailReads(n int) { p.locked(func() { p.failReads = n }) }
+// FailReads makes the next n reads of lease records fail with status 503.
+func (p *Platform) FailReads(n int) { p.withLock(func() { p.failLeaseReads = n }) }
 
-// RefuseWritesAfter lets the next n writes take effect, then refuses every
-// later write with 503 and no effect (an outage that starts between two
-// writes), until called with a negative n.
-func (p *Platform) RefuseWritesAfter(n int) { p.locked(func() { p.refuseAfter = n }) }
+// RefuseWritesAfter lets the next n writes take effect and rejects all later
+// ones with status 503 and without effect, which simulates an outage that
+// starts between two writes. A negative n ends the rejection. Deletions
+// outside a transaction and updates of the instance list are not affected.
+func (p *Platform) RefuseWritesAfter(n int) { p.withLock(func() { p.writesBeforeRefusal = n }) }
 
-// refused reports whether the next write is refused, counting it down.
-func (p *Platform) refused() bool {
+// refuseWrite reports whether the current write must be rejected, and
+// otherwise counts down the writes before rejection. p.mu must be held.
+func (p *Platform) refuseWrite() bool {
 	switch {
-	case p.refuseAfter == 0:
+	case p.writesBeforeRefusal == 0:
 		return true
-	case p.refuseAfter > 0:
-		p.refuseAfter--
+	case p.writesBeforeRefusal > 0:
+		p.writesBeforeRefusal--
 	}
 	return false
 }
 
-// Limits are how fast the platform answers and how much it takes. The zero
-// value answers at once and takes everything.
+// Limits holds the platform's rate limits and response times. The zero value
+// means no rate limits and no added response time.
 type Limits struct {
-	// WritesPerSecond and ReadsPerSecond are taken; more are answered 429.
+	// WritesPerSecond and ReadsPerSecond are rate limits, or 0 for no limit.
+	// Calls that exceed them fail with status 429.
 	WritesPerSecond, ReadsPerSecond int
-	// Table and Object are the times of a call to each service.
+	// Table and Object are the durations of a call to the table service and
+	// to the object store.
 	Table, Object time.Duration
 }
 
-// SetLimits sets the platform's limits.
+// SetLimits sets the platform's limits. The token buckets allow bursts of a
+// quarter of a second.
 func (p *Platform) SetLimits(l Limits) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.limits = l
-	p.writeRate = rate.NewLimiter(limitOf(l.WritesPerSecond), max(1, l.WritesPerSecond/4))
-	p.readRate = rate.NewLimiter(limitOf(l.ReadsPerSecond), max(1, l.ReadsPerSecond/4))
+	p.writeRate = rate.NewLimiter(rateLimit(l.WritesPerSecond), max(1, l.WritesPerSecond/4))
+	p.readRate = rate.NewLimiter(rateLimit(l.ReadsPerSecond), max(1, l.ReadsPerSecond/4))
 }
 
-func limitOf(perSecond int) rate.Limit {
+// rateLimit returns the limit of perSecond calls, where 0 means no limit.
+func rateLimit(perSecond int) rate.Limit {
 	if perSecond == 0 {
 		return rate.Inf
 	}
 	return rate.Limit(perSecond)
 }
 
-// pace holds a call for as long as its service takes, and reports whether
-// the call is within the rates.
-func (p *Platform) pace(r *http.Request) bool {
+// applyLimits reports whether r is within the rate limits, and if so, sleeps
+// for the duration of a call to the service.
+func (p *Platform) applyLimits(r *http.Request) bool {
 	p.mu.Lock()
 	limits, limiter := p.limits, p.readRate
 	if r.Method != http.MethodGet {
@@ -91,16 +98,18 @@
 	return true
 }
 
-func (p *Platform) faults(next http.Handler) http.Handler {
+// withFaults returns a handler that applies the outage and the limits before
+// it calls next.
+func (p *Platform) withFaults(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		p.mu.Lock()
 		down := p.outage
 		p.mu.Unlock()
 		if down {
-			unavailable(w, "outage")
+			writeUnavailable(w, "outage")
 			return
 		}
-		if !p.pace(r) {
+		if !p.applyLimits(r) {
 			writeJSON(w, http.StatusTooManyRequests, tableservice.ErrorBody{Error: "too many calls"})
 			return
 		}
@@ -108,15 +117,17 @@
 	})
 }
 
-func unavailable(w http.ResponseWriter, why string) {
+// writeUnavailable writes a response with status 503 and the reason why.
+func writeUnavailable(w http.ResponseWriter, why string) {
 	writeJSON(w, http.StatusServiceUnavailable, tableservice.ErrorBody{Error: why})
 }
 
-// ackLost counts a write and reports whether its answer is to be lost.
-func (p *Platform) ackLost() bool {
+// countWrite counts a write and reports whether its response must be lost.
+// p.mu must be held.
+func (p *Platform) countWrite() bool {
 	p.writes++
-	if p.lostAcks > 0 {
-		p.lostAcks--
+	if p.lostResponses > 0 {
+		p.lostResponses--
 		return true
 	}
 	return false
--- a/standin/httputil.go
+++ b/standin/httputil.go
@@ -5,6 +5,7 @@
 	"net/http"
 )
 
+// writeJSON writes a response with the given status and v as its JSON body.
 func writeJSON(w http.ResponseWriter, status int, v any) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
--- a/standin/tool.go
+++ b/standin/tool.go
@@ -11,90 +11,94 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// IdempotencyHeader is the header a tool service reads the idempotency key
-// from.
+// IdempotencyHeader is the request header that carries the idempotency key
+// of a tool call.
 const IdempotencyHeader = "Idempotency-Key"
 
-// Tool stands in for a tool service: POST /tools/{name} runs the tool.
-// It counts every execution per idempotency key, so tests can prove a
-// non-idempotent call ran at most once. It does not itself deduplicate:
-// that is wagtaildrum's job.
+// Tool is a stand-in for a tool service, in which POST /tools/{name} runs the
+// named tool. It counts executions by idempotency key, so that tests can
+// check that a non-idempotent call ran at most once. It does not deduplicate
+// calls, because wagtaildrum has to.
 type Tool struct {
-	mu     sync.Mutex
-	hang   []string
-	work   time.Duration
-	counts map[string]int
-	total  int
+	mu              sync.Mutex
+	hangingTools    []string
+	duration        time.Duration
+	executionsByKey map[string]int
+	totalExecutions int
 }
 
-// NewTool returns a tool service whose calls take work each, and whose
-// tools named in hang never answer until the caller gives up.
-func NewTool(hang []string, work time.Duration) *Tool {
-	return &Tool{hang: slices.Clone(hang), work: work, counts: map[string]int{}}
+// NewTool returns a tool service whose calls take the given duration. Calls
+// of the tools in hangingTools are not executed and get no response before
+// the client closes the request.
+func NewTool(hangingTools []string, duration time.Duration) *Tool {
+	return &Tool{hangingTools: slices.Clone(hangingTools), duration: duration, executionsByKey: map[string]int{}}
 }
 
-// ToolResult is the answer of a tool call.
+// ToolResult is the response body of a tool call.
 type ToolResult struct {
 	Tool   string `json:"tool"`
 	Result string `json:"result"`
 }
 
-// Executions returns how often the call with idempotency key key ran.
+// Executions returns the number of executions with the idempotency key key.
 func (t *Tool) Executions(key string) int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.counts[key]
+	return t.executionsByKey[key]
 }
 
-// Handler returns the tool service's HTTP API.
+// Handler returns the handler of the tool service's HTTP API.
 func (t *Tool) Handler() http.Handler {
 	mux := http.NewServeMux()
-	mux.HandleFunc("POST /tools/{name}", t.call)
-	mux.HandleFunc("GET /executions", t.executions)
+	mux.HandleFunc("POST /tools/{name}", t.handleCall)
+	mux.HandleFunc("GET /executions", t.handleExecutions)
 	return mux
 }
 
-func (t *Tool) call(w http.ResponseWriter, r *http.Request) {
+// handleCall executes a tool call.
+func (t *Tool) handleCall(w http.ResponseWriter, r *http.Request) {
 	name := r.PathValue("name")
 	args, err := io.ReadAll(r.Body)
 	if err != nil {
 		writeJSON(w, http.StatusBadRequest, map[string]string{"error": "unreadable body"})
 		return
 	}
-	if slices.Contains(t.hang, name) {
+	if slices.Contains(t.hangingTools, name) {
 		<-r.Context().Done()
 		return
 	}
 	t.mu.Lock()
-	t.counts[r.Header.Get(IdempotencyHeader)]++
-	t.total++
+	t.executionsByKey[r.Header.Get(IdempotencyHeader)]++
+	t.totalExecutions++
 	t.mu.Unlock()
-	time.Sleep(t.work)
+	time.Sleep(t.duration)
 	writeJSON(w, http.StatusOK, ToolAnswer(name, args))
 }
 
-// ToolAnswer returns what the stand-in answers when it runs tool name with
-// args; it depends on nothing else.
+// ToolAnswer returns the result of a call of tool name with args. The result
+// is a function of name and args only.
 func ToolAnswer(name string, args []byte) ToolResult {
 	sum := xxhash.Sum64(append([]byte(name+":"), args...))
 	return ToolResult{Tool: name, Result: fmt.Sprintf("%s-ok-%04x", name, sum%0x10000)}
 }
 
-func (t *Tool) executions(w http.ResponseWriter, _ *http.Request) {
+// handleExecutions writes the number of executions by idempotency key.
+func (t *Tool) handleExecutions(w http.ResponseWriter, _ *http.Request) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	writeJSON(w, http.StatusOK, t.counts)
+	writeJSON(w, http.StatusOK, t.executionsByKey)
 }
 
-// ToolState is the tool stand-in's state dump.
+// ToolState is the state dump of a Tool: the number of executions and of
+// distinct idempotency keys.
 type ToolState struct {
 	Executions int `json:"executions"`
 	Keys       int `json:"keys"`
 }
 
-// State returns a snapshot for the state dump.
+// State returns a ToolState.
 func (t *Tool) State() any {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return ToolState{Executions: t.total, Keys: len(t.counts)}
+	return ToolState{Executions: t.totalExecutions, Keys: len(t.executionsByKey)}
 }
