--- a/load/experiment_test.go
+++ b/load/experiment_test.go
@@ -13,9 +13,11 @@
 	"github.com/wagtaildrum/wagtaildrum/settings"
 )
 
+// experiments is the directory of the experiment files.
 const experiments = "../testdata/experiments"
 
-// TestExperimentFilesLoad checks every experiment file in the repository.
+// TestExperimentFilesLoad checks that all experiment files in the repository
+// are valid.
 func TestExperimentFilesLoad(t *testing.T) {
 	files, err := filepath.Glob(filepath.Join(experiments, "*.toml"))
 	require.NoError(t, err)
@@ -26,9 +28,11 @@
 	}
 }
 
-// TestBadExperimentsAreTypedErrors: a run is never started on a file that
-// asks for too much or for what is not there.
-func TestBadExperimentsAreTypedErrors(t *testing.T) {
+// TestLoadInvalidExperimentReturnsSettingsError checks that Load rejects an
+// experiment that exceeds a limit, has an unknown key, or names an undefined
+// model, tool or urgency, with a *settings.Error that names the key. Otherwise
+// a run could overload the machine or fail halfway.
+func TestLoadInvalidExperimentReturnsSettingsError(t *testing.T) {
 	raw, err := os.ReadFile(filepath.Join(experiments, "short.toml"))
 	require.NoError(t, err)
 	cases := []struct{ name, old, repl, key string }{
@@ -54,8 +58,9 @@
 	}
 }
 
-// TestLoadStaysOnLoopback: the load tool sends to no other machine.
-func TestLoadStaysOnLoopback(t *testing.T) {
+// TestRunRejectsNonLoopbackAddress guards against load on other machines: Run
+// must reject targets that are not loopback addresses.
+func TestRunRejectsNonLoopbackAddress(t *testing.T) {
 	x, err := load.Load(filepath.Join(experiments, "short.toml"))
 	require.NoError(t, err)
 	for _, address := range []string{"http://10.0.0.1:80", "http://example.com", "http://0.0.0.0:1", "://"} {
--- a/load/fleet.go
+++ b/load/fleet.go
@@ -13,141 +13,165 @@
 	"github.com/wagtaildrum/wagtaildrum/config"
 )
 
-// Fixed settings of an experiment's processes.
+// Settings of the processes that are the same in all experiments.
 const (
-	queueLength   = 64
-	reportLag     = 300 * time.Millisecond
-	eventLoss     = 5
-	dataCentres   = 3
-	entryCallTime = 15 * time.Second
-	// The platform's limits, as both deployments have them today.
-	storeWrites = 800
-	storeReads  = 2000
-	storeTable  = 4 * time.Millisecond
-	storeObject = 25 * time.Millisecond
+	// sidecarQueueLength is the maximum number of calls queued at a sidecar.
+	sidecarQueueLength = 64
+	// engineReportLag is the delay with which engines publish their load and
+	// cache events, and eventLossPercent the share of events never published.
+	engineReportLag  = 300 * time.Millisecond
+	eventLossPercent = 5
+	// dataCentreCount is the number of data centres of the endpoints.
+	dataCentreCount = 3
+	// entryCallTimeout is the call timeout of the entry instances.
+	entryCallTimeout = 15 * time.Second
+	// Limits of the platform stand-in, as in both current deployments.
+	platformWritesPerSecond = 800
+	platformReadsPerSecond  = 2000
+	platformTableTime       = 4 * time.Millisecond
+	platformObjectTime      = 25 * time.Millisecond
 )
 
-// FleetOptions are what may differ between two runs of an experiment.
+// FleetOptions holds the settings that may differ between runs of an
+// experiment.
 type FleetOptions struct {
-	// Routing and Order name the entries' and the sidecars' policies.
+	// Routing is the name of the entry instances' routing policy, and Order
+	// of the sidecars' queue order.
 	Routing, Order string
-	// BasePort is the first of the loopback ports used.
+	// BasePort is the loopback port before the first one used.
 	BasePort int
 }
 
-// fleet collects the processes of an experiment and their settings.
+// fleet builds the files of an experiment's deployment.
 type fleet struct {
-	dir   string
-	port  int
-	lines []string
-	cfg   config.Config
-	out   Targets
+	dir string
+	// port is the last allocated port.
+	port int
+	// processLines holds a line of the file processes for each process.
+	processLines []string
+	cfg          config.Config
+	targets      Targets
 }
 
-// WriteFleet writes to dir what is needed to run the experiment's
-// deployment on loopback: a settings file per process; processes, one
-// command line each, in the order in which to start them; config.toml, the
-// configuration to apply; ctl.toml; and targets.json for Run.
+// WriteFleet writes the files of the experiment's deployment on loopback to
+// dir, and creates dir if necessary:
+//
+//   - NAME.toml, the settings of the process NAME
+//   - processes, one line per process with its name, debug address, command
+//     and arguments, in starting order
+//   - config.toml, the configuration to apply
+//   - ctl.toml, the settings of the command that applies it
+//   - targets.json, the targets of Run
 func WriteFleet(x *Experiment, dir string, opts FleetOptions) error {
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return err
 	}
 	f := &fleet{dir: dir, port: opts.BasePort}
-	platformAddr, platformDebug := f.addr(), f.addr()
+	platformAddr, platformDebug := f.nextAddr(), f.nextAddr()
 	platformURL := "http://" + platformAddr
-	err := f.process("platform", "standin platform", platformDebug, map[string]any{"listen": platformAddr, "instance_lag": "3s",
-		"writes_per_second": storeWrites, "reads_per_second": storeReads, "table_time": storeTable.String(), "object_time": storeObject.String()})
+	err := f.addProcess("platform", "standin platform", platformDebug, map[string]any{"listen": platformAddr, "instance_lag": "3s",
+		"writes_per_second": platformWritesPerSecond, "reads_per_second": platformReadsPerSecond, "table_time": platformTableTime.String(), "object_time": platformObjectTime.String()})
 	if err != nil {
 		return err
 	}
-	f.out.Platform = "http://" + platformDebug
+	f.targets.Platform = "http://" + platformDebug
 	for i := range x.Engines {
-		if err := f.engines(&x.Engines[i], platformURL, opts.Order); err != nil {
+		if err := f.addEngines(&x.Engines[i], platformURL, opts.Order); err != nil {
 			return err
 		}
 	}
 	for i := range x.Tools {
-		if err := f.tools(&x.Tools[i], platformURL, opts.Order); err != nil {
+		if err := f.addTools(&x.Tools[i], platformURL, opts.Order); err != nil {
 			return err
 		}
 	}
-	rate := 0
+	// The entry instances are configured with the prefill rate of the first
+	// engine group, in tokens per second.
+	prefillRate := 0
 	if len(x.Engines) > 0 {
 		g := &x.Engines[0]
-		rate = int(float64(g.PrefillTokens) / g.Step.Seconds())
+		prefillRate = int(float64(g.PrefillTokens) / g.Step.Seconds())
 	}
 	for i := range x.Entries {
-		listen := f.addr()
-		err := f.process(fmt.Sprintf("entry-%d", i+1), "entry", f.addr(), map[string]any{"listen": listen, "peer_listen": f.addr(), "platform": platformURL,
-			"lease_ttl": "10s", "config_poll": "200ms", "call_timeout": entryCallTime.String(), "drain_timeout": "5s",
-			"routing": opts.Routing, "prefill_rate": rate, "block_tokens": blockTokens})
+		listenAddr := f.nextAddr()
+		err := f.addProcess(fmt.Sprintf("entry-%d", i+1), "entry", f.nextAddr(), map[string]any{"listen": listenAddr, "peer_listen": f.nextAddr(), "platform": platformURL,
+			"lease_ttl": "10s", "config_poll": "200ms", "call_timeout": entryCallTimeout.String(), "drain_timeout": "5s",
+			"routing": opts.Routing, "prefill_rate": prefillRate, "block_tokens": blockTokens})
 		if err != nil {
 			return err
 		}
-		f.out.Entries = append(f.out.Entries, "http://"+listen)
+		f.targets.Entries = append(f.targets.Entries, "http://"+listenAddr)
 	}
-	return f.finish(platformURL)
+	return f.writeSharedFiles(platformURL)
 }
 
-func (f *fleet) addr() string {
+// nextAddr allocates a port and returns its loopback address.
+func (f *fleet) nextAddr() string {
 	f.port++
 	return fmt.Sprintf("127.0.0.1:%d", f.port)
 }
 
-func (f *fleet) engines(g *EngineGroup, platformURL, order string) error {
+// addEngines adds the engines of g and their sidecars.
+func (f *fleet) addEngines(g *EngineGroup, platformURL, order string) error {
 	for i := range g.Count {
 		name := fmt.Sprintf("%s-%d", g.Model, i+1)
-		listen, debug, side := f.addr(), f.addr(), f.addr()
-		err := f.process(name+"-engine", "standin engine", debug, map[string]any{"listen": listen, "model": g.Model, "step": g.Step.String(),
+		listenAddr, debugAddr, sidecarAddr := f.nextAddr(), f.nextAddr(), f.nextAddr()
+		err := f.addProcess(name+"-engine", "standin engine", debugAddr, map[string]any{"listen": listenAddr, "model": g.Model, "step": g.Step.String(),
 			"step_per_sequence": g.StepPerSequence.String(), "max_batch": g.Slots, "prefill_tokens": g.PrefillTokens,
-			"cache_blocks": g.CacheTokens / blockTokens, "block_tokens": blockTokens, "report_lag": reportLag.String(), "event_loss_percent": eventLoss})
+			"cache_blocks": g.CacheTokens / blockTokens, "block_tokens": blockTokens, "report_lag": engineReportLag.String(), "event_loss_percent": eventLossPercent})
 		if err != nil {
 			return err
 		}
-		f.out.Engines = append(f.out.Engines, "http://"+debug)
-		f.cfg.Endpoints = append(f.cfg.Endpoints, config.Endpoint{Name: name, Role: "engine", Model: g.Model, Sidecar: side, DataCentre: dataCentre(i)})
-		if err := f.sidecar(name, "engine", side, listen, platformURL, order, g.Admit, g.UrgentOnly); err != nil {
+		f.targets.Engines = append(f.targets.Engines, "http://"+debugAddr)
+		f.cfg.Endpoints = append(f.cfg.Endpoints, config.Endpoint{Name: name, Role: "engine", Model: g.Model, Sidecar: sidecarAddr, DataCentre: dataCentre(i)})
+		if err := f.addSidecar(name, "engine", sidecarAddr, listenAddr, platformURL, order, g.Admit, g.UrgentOnly); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func (f *fleet) tools(g *ToolGroup, platformURL, order string) error {
+// addTools adds the tool services of g and their sidecars.
+func (f *fleet) addTools(g *ToolGroup, platformURL, order string) error {
 	for i := range g.Count {
 		name := fmt.Sprintf("%s-%d", g.Name, i+1)
-		listen, debug, side := f.addr(), f.addr(), f.addr()
-		if err := f.process(name+"-tool", "standin tool", debug, map[string]any{"listen": listen, "work": g.Work.String()}); err != nil {
+		listenAddr, debugAddr, sidecarAddr := f.nextAddr(), f.nextAddr(), f.nextAddr()
+		if err := f.addProcess(name+"-tool", "standin tool", debugAddr, map[string]any{"listen": listenAddr, "work": g.Work.String()}); err != nil {
 			return err
 		}
-		f.cfg.Endpoints = append(f.cfg.Endpoints, config.Endpoint{Name: name, Role: "tool", Tools: g.Tools, Sidecar: side, DataCentre: dataCentre(i)})
-		if err := f.sidecar(name, "tool", side, listen, platformURL, order, g.Slots, 0); err != nil {
+		f.cfg.Endpoints = append(f.cfg.Endpoints, config.Endpoint{Name: name, Role: "tool", Tools: g.Tools, Sidecar: sidecarAddr, DataCentre: dataCentre(i)})
+		if err := f.addSidecar(name, "tool", sidecarAddr, listenAddr, platformURL, order, g.Slots, 0); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func dataCentre(i int) string { return fmt.Sprintf("local-%c", 'a'+i%dataCentres) }
+// dataCentre returns the data centre of the endpoint with index i in its
+// group. Endpoints are spread evenly over the data centres.
+func dataCentre(i int) string { return fmt.Sprintf("local-%c", 'a'+i%dataCentreCount) }
 
-func (f *fleet) sidecar(name, role, listen, endpoint, platformURL, order string, admit, urgentOnly int) error {
-	return f.process(name, "sidecar", f.addr(), map[string]any{"listen": listen, "endpoint": "http://" + endpoint, "role": role,
-		"platform": platformURL, "drain_timeout": "5s", "max_concurrent": admit, "max_queued": queueLength, "urgent_only": urgentOnly, "order": order})
+// addSidecar adds the sidecar of an endpoint.
+func (f *fleet) addSidecar(name, role, listenAddr, endpointAddr, platformURL, order string, admit, urgentOnly int) error {
+	return f.addProcess(name, "sidecar", f.nextAddr(), map[string]any{"listen": listenAddr, "endpoint": "http://" + endpointAddr, "role": role,
+		"platform": platformURL, "drain_timeout": "5s", "max_concurrent": admit, "max_queued": sidecarQueueLength, "urgent_only": urgentOnly, "order": order})
 }
 
-// process writes one process's settings and adds its command line.
-func (f *fleet) process(name, command, debug string, keys map[string]any) error {
-	keys["instance_id"], keys["data_centre"], keys["debug"] = name, "local", debug
+// addProcess writes the settings file of a process and adds its line to
+// processLines.
+func (f *fleet) addProcess(name, command, debugAddr string, keys map[string]any) error {
+	keys["instance_id"], keys["data_centre"], keys["debug"] = name, "local", debugAddr
 	path := filepath.Join(f.dir, name+".toml")
 	if err := writeTOML(path, keys); err != nil {
 		return err
 	}
-	f.lines = append(f.lines, fmt.Sprintf("%s %s %s -s %s", name, debug, command, path))
+	f.processLines = append(f.processLines, fmt.Sprintf("%s %s %s -s %s", name, debugAddr, command, path))
 	return nil
 }
 
-func (f *fleet) finish(platformURL string) error {
-	processes := strings.Join(f.lines, "\n") + "\n"
+// writeSharedFiles writes the files that do not belong to a single process.
+func (f *fleet) writeSharedFiles(platformURL string) error {
+	processes := strings.Join(f.processLines, "\n") + "\n"
 	if err := os.WriteFile(filepath.Join(f.dir, "processes"), []byte(processes), 0o644); err != nil {
 		return err
 	}
@@ -157,13 +181,14 @@
 	if err := writeTOML(filepath.Join(f.dir, "ctl.toml"), map[string]any{"platform": platformURL}); err != nil {
 		return err
 	}
-	raw, err := json.Marshal(&f.out)
+	raw, err := json.Marshal(&f.targets)
 	if err != nil {
 		return err
 	}
 	return os.WriteFile(filepath.Join(f.dir, "targets.json"), raw, 0o644)
 }
 
+// writeTOML writes v in TOML to the file at path.
 func writeTOML(path string, v any) error {
 	raw, err := toml.Marshal(v)
 	if err != nil {
@@ -172,7 +197,8 @@
 	return os.WriteFile(path, raw, 0o644)
 }
 
-// ReadTargets reads the targets.json that WriteFleet wrote.
+// ReadTargets reads the file targets.json written by WriteFleet. It returns an
+// *AddressError if a target is not a loopback address.
 func ReadTargets(path string) (*Targets, error) {
 	raw, err := os.ReadFile(path)
 	if err != nil {
--- a/load/plot.go
+++ b/load/plot.go
@@ -9,19 +9,22 @@
 	"gonum.org/v1/plot/vg"
 )
 
-// Sizes of the plots.
+// Dimensions of the plots.
 const (
 	plotWidth  = 18 * vg.Centimeter
 	plotHeight = 11 * vg.Centimeter
 )
 
-// PlotLatency draws the distribution of whole-program latency of each run
-// to a PNG file. Failed programs never end: a curve stops below 1.
+// PlotLatency plots the cumulative distribution of program latency of each run
+// to the PNG file at path. Failed programs count as never ended, so the curve
+// of a run with failures ends below 1.
 func PlotLatency(path string, x *Experiment, runs []*Result) error {
 	p := newPlot(x.Name+": whole-program latency", "seconds", "share of programs ended")
 	return drawRuns(p, path, runs, latencyCurve)
 }
 
+// latencyCurve returns the points of the cumulative distribution of program
+// latency in seconds.
 func latencyCurve(r *Result) plotter.XYs {
 	var ended []float64
 	for i := range r.Programs {
@@ -37,13 +40,15 @@
 	return xys
 }
 
-// PlotWasted draws the share of reusable prompt tokens that were read
-// again, second by second, of each run to a PNG file.
+// PlotWasted plots the wasted share of the reusable prompt tokens in each
+// second of each run to the PNG file at path.
 func PlotWasted(path string, x *Experiment, runs []*Result) error {
 	p := newPlot(x.Name+": wasted prefix cache", "seconds since the start", "share of reusable tokens read again")
 	return drawRuns(p, path, runs, wastedCurve)
 }
 
+// wastedCurve returns the wasted share of the reusable prompt tokens for each
+// second with reusable tokens.
 func wastedCurve(r *Result) plotter.XYs {
 	sums := map[int]*tokenSample{}
 	last := 0
@@ -65,6 +70,7 @@
 	return xys
 }
 
+// newPlot returns an empty plot with its legend at the bottom right.
 func newPlot(title, xLabel, yLabel string) *plot.Plot {
 	p := plot.New()
 	p.Title.Text, p.X.Label.Text, p.Y.Label.Text = title, xLabel, yLabel
@@ -72,7 +78,7 @@
 	return p
 }
 
-// drawRuns draws one curve per run and writes the plot.
+// drawRuns adds a curve for each run to p and writes p to the file at path.
 func drawRuns(p *plot.Plot, path string, runs []*Result, curve func(*Result) plotter.XYs) error {
 	var lines []any
 	for _, r := range runs {
--- a/load/result.go
+++ b/load/result.go
@@ -12,21 +12,24 @@
 	"github.com/wagtaildrum/wagtaildrum/standin"
 )
 
-// Program is how one program went.
+// Program is the result of a program.
 type Program struct {
-	Kind    string        `json:"kind"`
-	Phase   Phase         `json:"phase"`
-	Urgency string        `json:"urgency"`
-	Turns   int           `json:"turns"`
+	Kind    string `json:"kind"`
+	Phase   Phase  `json:"phase"`
+	Urgency string `json:"urgency"`
+	Turns   int    `json:"turns"`
+	// Latency is the time from the program's creation to its end.
 	Latency time.Duration `json:"latency_ns"`
-	// Idle is its time on idle engines.
-	Idle     time.Duration `json:"idle_ns"`
-	Refusals int           `json:"refusals"`
-	// Failure is why it did not end; empty: it did.
+	// Idle is the estimated duration of the program on idle engines.
+	Idle time.Duration `json:"idle_ns"`
+	// Refusals is the number of rejected requests, retried ones included.
+	Refusals int `json:"refusals"`
+	// Failure is the reason why the program did not complete, or empty if it
+	// did.
 	Failure string `json:"failure,omitempty"`
 }
 
-// Result is what one run saw.
+// Result is the result of a run of an experiment.
 type Result struct {
 	Experiment string        `json:"experiment"`
 	Label      string        `json:"label"`
@@ -34,38 +37,41 @@
 	Programs   []Program     `json:"programs"`
 	Tokens     tokenCount    `json:"tokens"`
 	ByTime     []tokenSample `json:"by_time"`
-	// Utilisation is the share of the time in which engines had work.
+	// Utilisation is the share of the elapsed time for which the engines were
+	// busy, averaged over the engines.
 	Utilisation float64 `json:"utilisation"`
-	// Prefill counts the prompt tokens engines read, Evicted the cache
-	// blocks they evicted.
+	// Prefill is the number of prompt tokens computed by the engines, and
+	// Evicted the number of blocks evicted from their caches.
 	Prefill int64 `json:"prefill_tokens"`
 	Evicted int64 `json:"evicted_blocks"`
-	// Writes and Reads count calls to the platform.
+	// Writes and Reads are the numbers of calls served by the platform.
 	Writes int `json:"platform_writes"`
 	Reads  int `json:"platform_reads"`
-	// OverRate counts the calls the platform refused for coming too fast.
+	// OverRate is the number of calls rejected by the platform's rate limits.
 	OverRate int `json:"platform_over_rate"`
 }
 
-// observation is the stand-ins' counters at one time.
-type observation struct {
+// counterSnapshot holds the counters of the stand-ins at a point in time.
+type counterSnapshot struct {
 	engines  []standin.EngineState
 	platform standin.PlatformState
 }
 
-func (r *runner) observe() (*observation, error) {
-	o := &observation{}
+// readCounters reads the state dumps of the engines and the platform.
+func (r *runner) readCounters() (*counterSnapshot, error) {
+	o := &counterSnapshot{}
 	for _, base := range r.targets.Engines {
 		var st standin.EngineState
-		if err := r.state(base, &st); err != nil {
+		if err := r.readState(base, &st); err != nil {
 			return nil, err
 		}
 		o.engines = append(o.engines, st)
 	}
-	return o, r.state(r.targets.Platform, &o.platform)
+	return o, r.readState(r.targets.Platform, &o.platform)
 }
 
-func (r *runner) state(base string, into any) error {
+// readState decodes the state dump at the debug base URL base into out.
+func (r *runner) readState(base string, out any) error {
 	resp, err := r.http.Get(base + "/debug/state")
 	if err != nil {
 		return err
@@ -74,11 +80,13 @@
 	if resp.StatusCode != http.StatusOK {
 		return &CallError{kind: "debug_state", status: resp.StatusCode}
 	}
-	return json.NewDecoder(resp.Body).Decode(into)
+	return json.NewDecoder(resp.Body).Decode(out)
 }
 
-func (r *runner) result(label string, elapsed time.Duration, before, after *observation) *Result {
-	res := &Result{Experiment: r.x.Name, Label: label, Elapsed: elapsed, Programs: r.results, Tokens: r.ledger.tokens, ByTime: r.ledger.byTime,
+// result returns the result of a run that took elapsed, with the differences
+// of the counters before and after it.
+func (r *runner) result(label string, elapsed time.Duration, before, after *counterSnapshot) *Result {
+	res := &Result{Experiment: r.x.Name, Label: label, Elapsed: elapsed, Programs: r.results, Tokens: r.cacheStats.tokens, ByTime: r.cacheStats.samples,
 		Writes: after.platform.Writes - before.platform.Writes, Reads: after.platform.Reads - before.platform.Reads,
 		OverRate: after.platform.OverRate - before.platform.OverRate}
 	var busy time.Duration
@@ -91,7 +99,7 @@
 	return res
 }
 
-// Write writes the result to a JSON file.
+// Write writes the result in JSON to the file at path.
 func (res *Result) Write(path string) error {
 	raw, err := json.Marshal(res)
 	if err != nil {
@@ -100,7 +108,7 @@
 	return os.WriteFile(path, raw, 0o644)
 }
 
-// ReadResult reads a result from a JSON file.
+// ReadResult reads a result from the JSON file at path.
 func ReadResult(path string) (*Result, error) {
 	raw, err := os.ReadFile(path)
 	if err != nil {
@@ -113,23 +121,26 @@
 	return &res, nil
 }
 
-// Summary is the figures of some of a run's programs.
+// Summary holds statistics of a set of programs: their number, the number of
+// failed ones, of those that met their latency target, and of rejected
+// requests, and the quantiles and mean of their latency.
 type Summary struct {
-	Count, Failed, InTime, Refusals int
-	P50, P95, P99, Mean             time.Duration
+	Count, Failed, WithinTarget, Refusals int
+	P50, P95, P99, Mean                   time.Duration
 }
 
-// highest is the largest latency the histograms hold.
-const highest = 10 * time.Minute
+// maxLatency is the maximum latency in the histograms. It is recorded for
+// failed programs.
+const maxLatency = 10 * time.Minute
 
-// Summarise returns the figures of the programs for which take is true. A
-// program that failed counts as never ended: at the histogram's end.
-func (res *Result) Summarise(x *Experiment, take func(*Program) bool) Summary {
-	h := hdrhistogram.New(1, highest.Microseconds(), 3)
+// Summarise returns the statistics of the programs for which include returns
+// true. A failed program counts with the maximum latency of the histogram.
+func (res *Result) Summarise(x *Experiment, include func(*Program) bool) Summary {
+	h := hdrhistogram.New(1, maxLatency.Microseconds(), 3)
 	var s Summary
 	for i := range res.Programs {
 		p := &res.Programs[i]
-		if !take(p) {
+		if !include(p) {
 			continue
 		}
 		s.Count++
@@ -137,28 +148,30 @@
 		latency := p.Latency
 		if p.Failure != "" {
 			s.Failed++
-			latency = highest
-		} else if p.Latency <= x.aim(p) {
-			s.InTime++
+			latency = maxLatency
+		} else if p.Latency <= x.latencyTarget(p) {
+			s.WithinTarget++
 		}
-		_ = h.RecordValue(min(max(latency, time.Microsecond), highest).Microseconds())
+		_ = h.RecordValue(min(max(latency, time.Microsecond), maxLatency).Microseconds())
 	}
-	at := func(q float64) time.Duration { return time.Duration(h.ValueAtQuantile(q)) * time.Microsecond }
-	s.P50, s.P95, s.P99 = at(50), at(95), at(99)
+	quantile := func(q float64) time.Duration { return time.Duration(h.ValueAtQuantile(q)) * time.Microsecond }
+	s.P50, s.P95, s.P99 = quantile(50), quantile(95), quantile(99)
 	s.Mean = time.Duration(h.Mean()) * time.Microsecond
 	return s
 }
 
-func (x *Experiment) aim(p *Program) time.Duration {
-	i := slices.IndexFunc(x.Kinds, func(k ProgramShape) bool { return k.Name == p.Kind })
+// latencyTarget returns the latency target of p, or 0 if x has no shape of
+// its kind.
+func (x *Experiment) latencyTarget(p *Program) time.Duration {
+	i := slices.IndexFunc(x.Shapes, func(k ProgramShape) bool { return k.Name == p.Kind })
 	if i < 0 {
 		return 0
 	}
-	return time.Duration(x.Kinds[i].AimFactor*float64(p.Idle)) + x.Kinds[i].Aim
+	return time.Duration(x.Shapes[i].IdleTimeFactor*float64(p.Idle)) + x.Shapes[i].LatencyAllowance
 }
 
-// WastedShare returns the share of reusable prompt tokens that were read
-// again.
+// WastedShare returns the share of the reusable prompt tokens that engines
+// computed again, or 0 if there were none.
 func (res *Result) WastedShare() float64 {
 	if res.Tokens.Reusable == 0 {
 		return 0
