--- a/standin/cache.go
+++ b/standin/cache.go
@@ -18,15 +18,21 @@
 // published after a delay of lag, and lossPercent of them are never
 // published.
 type prefixCache struct {
-	capacity     int
-	recency      *list.List
-	blocks       map[uint64]*list.Element
-	evicted      int64
-	lag          time.Duration
-	lossPercent  int
-	rng          *rand.Rand
+	capacity int
+	// recency holds the block hashes, most recently used first, and blocks
+	// the list element of each hash.
+	recency *list.List
+	blocks  map[uint64]*list.Element
+	// evicted counts the evicted blocks.
+	evicted     int64
+	lag         time.Duration
+	lossPercent int
+	// rng chooses the lost events.
+	rng *rand.Rand
+	// lastSequence is the sequence number of the last event.
 	lastSequence uint64
-	events       []timedEvent
+	// events holds the retained events, oldest first.
+	events []timedEvent
 }
 
 // timedEvent is a cache event with its creation time. A lost event is never
--- a/standin/tool.go
+++ b/standin/tool.go
@@ -20,9 +20,13 @@
 // check that a non-idempotent call ran at most once. It does not deduplicate
 // calls, because wagtaildrum has to.
 type Tool struct {
-	mu              sync.Mutex
-	hangingTools    []string
-	duration        time.Duration
+	mu sync.Mutex
+	// hangingTools are the tools that never respond.
+	hangingTools []string
+	// duration is the time that a call takes.
+	duration time.Duration
+	// executionsByKey counts the executions by idempotency key, and
+	// totalExecutions all of them.
 	executionsByKey map[string]int
 	totalExecutions int
 }
--- a/workload/player.go
+++ b/workload/player.go
@@ -45,15 +45,16 @@
 // Session is the record of the run of a script. Its exchanges are ordered by
 // program and sequence number, its outcomes by program.
 type Session struct {
-	Script   string     `json:"script"`
-	Entries  []Exchange `json:"entries"`
-	Outcomes []Outcome  `json:"outcomes"`
+	Script    string     `json:"script"`
+	Exchanges []Exchange `json:"entries"`
+	Outcomes  []Outcome  `json:"outcomes"`
 }
 
 // Player runs scripts against an entry instance. It runs one script at a
 // time.
 type Player struct {
-	client  *sling.Sling
+	client *sling.Sling
+	// mu guards session, which is the record of the current run.
 	mu      sync.Mutex
 	session *Session
 }
@@ -75,7 +76,7 @@
 		}
 	}
 	wg.Wait()
-	slices.SortFunc(pl.session.Entries, func(a, b Exchange) int {
+	slices.SortFunc(pl.session.Exchanges, func(a, b Exchange) int {
 		if c := strings.Compare(a.Program, b.Program); c != 0 {
 			return c
 		}
@@ -89,7 +90,7 @@
 func (pl *Player) recordExchange(e Exchange) {
 	pl.mu.Lock()
 	defer pl.mu.Unlock()
-	pl.session.Entries = append(pl.session.Entries, e)
+	pl.session.Exchanges = append(pl.session.Exchanges, e)
 }
 
 // runProgram creates program p of script s, makes its calls in order, waits
