--- a/balance/picker_test.go
+++ b/balance/picker_test.go
@@ -184,7 +184,7 @@
 	}
 	warm := inFlight[39].MissingTokens
 	restarted := *endpoints[0]
-	restarted.Born = 1764720000000
+	restarted.StartMillis = 1764720000000
 	endpoints = []*membership.Endpoint{&restarted, endpoints[1]}
 	first := picker.Pick(endpoints, request, skipSecond)
 	assert.Greater(t, first.MissingTokens, warm, "the conversation is not cached")
--- a/cmd/wagtaildrum/front.go
+++ b/cmd/wagtaildrum/front.go
@@ -158,9 +158,9 @@
 		p.log.Info("store", "partition", partition, "away", unavailable, "err", err)
 		switch {
 		case unavailable && partition == store.AllPartitions:
-			list.StoreLost()
+			list.StoreUnavailable()
 		case partition == store.AllPartitions:
-			list.StoreBack(clk.Now())
+			list.StoreAvailable(clk.Now())
 		}
 	})
 	f := &front{process: p, list: list, picker: balance.NewPicker(clk), client: upstream.NewClient(), owner: owner, directory: directory, directStore: directStore, store: guard}
@@ -297,7 +297,7 @@
 			f.process.log.Info("endpoint dropped: it did not register again after the store recovered", "endpoint", id)
 		}
 		f.client.Trim()
-		f.picker.Forget(f.list.Knows)
+		f.picker.Forget(f.list.HasIncarnation)
 	}, done)
 }
 
--- a/discovery/follower.go
+++ b/discovery/follower.go
@@ -230,14 +230,14 @@
 		return endpoint
 	}
 	notifyRestart := func(endpoint *membership.Endpoint) {
-		log.Info("endpoint restarted", "endpoint", endpoint.ID, "born", endpoint.Born, "address", endpoint.Address)
+		log.Info("endpoint restarted", "endpoint", endpoint.ID, "born", endpoint.StartMillis, "address", endpoint.Address)
 		onRestart(endpoint)
 	}
 	return Source{
 		Table: table,
 		Wait:  promptWatchWait,
-		Lost:  list.StoreLost,
-		Back:  func() { list.StoreBack(clk.Now()) },
+		Lost:  list.StoreUnavailable,
+		Back:  func() { list.StoreAvailable(clk.Now()) },
 		Apply: func(row store.Row) {
 			if row.Removed {
 				log.Info("endpoint removed from the list", "endpoint", row.Key.Name, "row_version", row.Version)
@@ -245,7 +245,7 @@
 				return
 			}
 			endpoint := decodeEntry(row)
-			log.Info("endpoint", "endpoint", endpoint.ID, "born", endpoint.Born, "service", endpoint.Service, "address", endpoint.Address, "state", endpoint.State, "row_version", row.Version)
+			log.Info("endpoint", "endpoint", endpoint.ID, "born", endpoint.StartMillis, "service", endpoint.Service, "address", endpoint.Address, "state", endpoint.State, "row_version", row.Version)
 			if list.Put(endpoint) {
 				notifyRestart(endpoint)
 			}
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -93,7 +93,7 @@
 // false while the instance drains, before the configuration and the list of
 // endpoints are loaded, and while the instance is partitioned.
 func (gateway *Gateway) Ready() bool {
-	return !gateway.draining.Load() && gateway.Routes.Load() != nil && gateway.Endpoints.Known() && !gateway.partitioned()
+	return !gateway.draining.Load() && gateway.Routes.Load() != nil && gateway.Endpoints.Loaded() && !gateway.partitioned()
 }
 
 // partitioned reports whether neither the store nor any other instance is
--- a/membership/list.go
+++ b/membership/list.go
@@ -36,25 +36,25 @@
 type Endpoint struct {
 	// ID identifies the endpoint. It may stay the same across restarts.
 	ID string
-	// Born is the time at which the endpoint started, by its own clock in
+	// StartMillis is the time at which the endpoint started, by its own clock in
 	// milliseconds since 1970; 0 if it is not reported. It distinguishes the
 	// incarnations of an endpoint.
-	Born       int64
-	Service    string
-	Address    string
-	DataCentre string
-	Slots      int
-	State      State
+	StartMillis int64
+	Service     string
+	Address     string
+	DataCentre  string
+	Slots       int
+	State       State
 }
 
 // Incarnation returns the name of the endpoint's present incarnation. Statistics
 // and cache content are recorded per incarnation: a restarted endpoint has empty
 // memory and none of the earlier requests and faults.
 func (endpoint *Endpoint) Incarnation() string {
-	if endpoint.Born == 0 {
+	if endpoint.StartMillis == 0 {
 		return endpoint.ID
 	}
-	return endpoint.ID + "@" + strconv.FormatInt(endpoint.Born, 10)
+	return endpoint.ID + "@" + strconv.FormatInt(endpoint.StartMillis, 10)
 }
 
 // recoveryGrace is how long endpoints may stay missing after the store's return.
@@ -83,8 +83,8 @@
 	return list
 }
 
-// Known reports whether the list has been read completely at least once.
-func (list *List) Known() bool { return list.loaded.Load() }
+// Loaded reports whether the list has been read completely at least once.
+func (list *List) Loaded() bool { return list.loaded.Load() }
 
 // Service returns the endpoints of a service that may take work, in order of ID.
 // The caller must not modify the slice.
@@ -103,15 +103,15 @@
 	return len(list.endpoints)
 }
 
-// StoreLost records that the list cannot be read.
-func (list *List) StoreLost() {
+// StoreUnavailable records that the list cannot be read.
+func (list *List) StoreUnavailable() {
 	list.mu.Lock()
 	defer list.mu.Unlock()
 	list.storeUnavailable = true
 }
 
-// StoreBack records that the list could be read again at now.
-func (list *List) StoreBack(now time.Time) {
+// StoreAvailable records that the list could be read again at now.
+func (list *List) StoreAvailable(now time.Time) {
 	list.mu.Lock()
 	defer list.mu.Unlock()
 	if list.storeUnavailable {
@@ -137,22 +137,22 @@
 	delete(list.missingSince, endpoint.ID)
 	switch {
 	case !ok:
-	case endpoint.State == StateInvalid, endpoint.Born == 0 && previous.Born != 0:
+	case endpoint.State == StateInvalid, endpoint.StartMillis == 0 && previous.StartMillis != 0:
 		// An entry without the start time that the endpoint reported before
 		// comes from another writer, too. The last incarnation is kept.
 		invalid := *previous
 		invalid.State = StateInvalid
 		endpoint = &invalid
-	case endpoint.Born < previous.Born && previous.State == StateMissing:
+	case endpoint.StartMillis < previous.StartMillis && previous.State == StateMissing:
 		// The entry is present again, though an outdated one: the endpoint
 		// has not left.
 		ready := *previous
 		ready.State = StateReady
 		endpoint = &ready
-	case endpoint.Born < previous.Born:
+	case endpoint.StartMillis < previous.StartMillis:
 		return false
 	default:
-		restarted = endpoint.Born > previous.Born && previous.Address != ""
+		restarted = endpoint.StartMillis > previous.StartMillis && previous.Address != ""
 	}
 	list.endpoints[endpoint.ID] = endpoint
 	return restarted
@@ -243,9 +243,9 @@
 	list.services.Store(&services)
 }
 
-// Knows reports whether the list holds the named incarnation of an endpoint,
+// HasIncarnation reports whether the list holds the named incarnation of an endpoint,
 // whether or not it takes work.
-func (list *List) Knows(incarnation string) bool {
+func (list *List) HasIncarnation(incarnation string) bool {
 	id, _, _ := strings.Cut(incarnation, "@")
 	list.mu.Lock()
 	defer list.mu.Unlock()
--- a/membership/list_test.go
+++ b/membership/list_test.go
@@ -25,16 +25,16 @@
 
 func TestDrainingAndRemovedEndpointsTakeNoWork(t *testing.T) {
 	list := membership.NewList()
-	assert.False(t, list.Known())
+	assert.False(t, list.Loaded())
 	list.Replace([]*membership.Endpoint{endpoint("a", membership.StateReady), endpoint("b", membership.StateReady), endpoint("c", membership.StateReady)}, start)
-	assert.True(t, list.Known())
+	assert.True(t, list.Loaded())
 	assert.Equal(t, []string{"a", "b", "c"}, ids(list))
 	list.Put(endpoint("b", membership.StateDraining))
 	assert.Equal(t, []string{"a", "c"}, ids(list))
 	list.Remove("a", start.Add(time.Minute))
 	assert.Equal(t, []string{"c"}, ids(list))
-	assert.True(t, list.Knows("b"))
-	assert.False(t, list.Knows("a"))
+	assert.True(t, list.HasIncarnation("b"))
+	assert.False(t, list.HasIncarnation("a"))
 }
 
 // Guards against the loss of all endpoints after a store outage of a few seconds,
@@ -45,12 +45,12 @@
 func TestEndpointsSurviveStoreOutage(t *testing.T) {
 	list := membership.NewList()
 	list.Replace([]*membership.Endpoint{endpoint("a", membership.StateReady), endpoint("b", membership.StateReady), endpoint("c", membership.StateDraining)}, start)
-	list.StoreLost()
+	list.StoreUnavailable()
 	back := start.Add(5 * time.Second)
 	for _, id := range []string{"a", "b", "c"} {
 		list.Remove(id, back)
 	}
-	list.StoreBack(back)
+	list.StoreAvailable(back)
 	assert.Equal(t, []string{"a", "b"}, ids(list), "a draining endpoint is removed immediately")
 	assert.Empty(t, list.Expire(back.Add(time.Second)))
 	list.Put(endpoint("a", membership.StateReady))
@@ -70,7 +70,7 @@
 
 func endpointBorn(id string, at int64) *membership.Endpoint {
 	started := endpoint(id, membership.StateReady)
-	started.Born = at
+	started.StartMillis = at
 	return started
 }
 
@@ -85,8 +85,8 @@
 	assert.True(t, list.Put(endpointBorn("a", 200)))
 	assert.False(t, list.Put(endpointBorn("a", 100)), "a delayed heartbeat of the earlier incarnation")
 	assert.Equal(t, "a@200", list.Service("model")[0].Incarnation())
-	assert.True(t, list.Knows("a@200"))
-	assert.False(t, list.Knows("a@100"))
+	assert.True(t, list.HasIncarnation("a@200"))
+	assert.False(t, list.HasIncarnation("a@100"))
 	assert.Equal(t, []*membership.Endpoint{endpointBorn("a", 300)}, list.Replace([]*membership.Endpoint{endpointBorn("a", 300)}, start))
 }
 
@@ -107,11 +107,11 @@
 	assert.Equal(t, []string{"a", "b"}, ids(list))
 	list.Put(&membership.Endpoint{ID: "c", State: membership.StateInvalid})
 	list.Remove("c", start.Add(time.Minute))
-	assert.False(t, list.Knows("c"))
-	list.StoreLost()
+	assert.False(t, list.HasIncarnation("c"))
+	list.StoreUnavailable()
 	list.Put(&membership.Endpoint{ID: "a", State: membership.StateInvalid})
 	list.Remove("a", start.Add(time.Minute))
-	assert.False(t, list.Knows("a@100"), "an invalid entry does not stay during an outage")
+	assert.False(t, list.HasIncarnation("a@100"), "an invalid entry does not stay during an outage")
 }
 
 // Guards against an endpoint that left a second after an outage receiving work
@@ -121,8 +121,8 @@
 func TestEndpointRemovedWithinGraceExpires(t *testing.T) {
 	list := membership.NewList()
 	list.Replace([]*membership.Endpoint{endpoint("a", membership.StateReady)}, start)
-	list.StoreLost()
-	list.StoreBack(start.Add(time.Second))
+	list.StoreUnavailable()
+	list.StoreAvailable(start.Add(time.Second))
 	list.Remove("a", start.Add(1500*time.Millisecond))
 	list.Remove("a", start.Add(1600*time.Millisecond))
 	assert.Equal(t, []string{"a"}, ids(list))
