--- a/balance/fleet_test.go
+++ b/balance/fleet_test.go
@@ -200,10 +200,10 @@
 func (play *fleetPlay) turn(program *modelProgram) {
 	picker := play.instance(program)
 	if program.cacheLocation != "" {
-		picker.Learn(program.cacheLocation, balance.Part{ID: program.id, Tokens: program.conversation - 100})
+		picker.RecordCached(program.cacheLocation, balance.Part{ID: program.id, Tokens: program.conversation - 100})
 	}
 	parts := []balance.Part{{ID: program.shared, Tokens: modelSharedPrefix}, {ID: program.id, Tokens: program.conversation}}
-	request := &balance.Request{DataCentre: fmt.Sprint(program.centre), Parts: parts, Capacity: modelMemory}
+	request := &balance.Request{DataCentre: fmt.Sprint(program.centre), Segments: parts, Capacity: modelMemory}
 	choice := picker.Pick(play.list, request, skipNone)
 	engine := play.index[choice.Endpoint().ID]
 	turn := &modelTurn{choice: choice, parts: parts, sent: play.now, output: int64(play.logNormal(260, 0.5)) + 29}
@@ -249,7 +249,7 @@
 	}
 	turn.ends = play.now + prefillTime + time.Duration(float64(turn.output)*modelDecodeTime*float64(time.Millisecond))
 	play.at(prefillTime+9*time.Millisecond, func() {
-		turn.choice.Answered()
+		turn.choice.HeaderReceived()
 		turn.choice.ReportLoad(balance.Load{Running: len(e.running), Waiting: len(e.waiting), Slots: modelSlots})
 		if play.measuring() {
 			play.waits = append(play.waits, play.now-turn.sent)
--- a/balance/health_test.go
+++ b/balance/health_test.go
@@ -34,7 +34,7 @@
 	took, outcome := decide(id)
 	clk.Advance(took)
 	if outcome == balance.OutcomeServed || outcome == balance.OutcomeFailed {
-		choice.Answered()
+		choice.HeaderReceived()
 	}
 	choice.Done(outcome)
 	return id
@@ -102,9 +102,9 @@
 	for range 5 {
 		other := picker.Pick(endpoints, &balance.Request{DataCentre: "a"}, skipNone)
 		assert.Equal(t, "a-1", other.Endpoint().ID)
-		other.Answered()
+		other.HeaderReceived()
 	}
-	pending.Answered()
+	pending.HeaderReceived()
 	assert.Equal(t, "a-0", picker.Pick(endpoints, &balance.Request{DataCentre: "a"}, skipNone).Endpoint().ID, "a-0 has five fewer requests in flight")
 }
 
--- a/balance/picker.go
+++ b/balance/picker.go
@@ -23,7 +23,7 @@
 	DataCentre string
 	// Segments holds the prompt segments in order; it is empty for a request
 	// without a prompt.
-	Parts []Part
+	Segments []Part
 	// Capacity is the size of an engine's key-value cache in tokens; 0 for a
 	// service that runs no language model.
 	Capacity int64
@@ -169,7 +169,7 @@
 			better = picker.randIntN(ties) == 0
 		}
 		if better {
-			best = Choice{picker: picker, endpoint: candidate, state: state, startedAt: now, hasPrompt: len(request.Parts) > 0, MissingTokens: missing, Cost: cost}
+			best = Choice{picker: picker, endpoint: candidate, state: state, startedAt: now, hasPrompt: len(request.Segments) > 0, MissingTokens: missing, Cost: cost}
 			bestAvoided = avoided
 		}
 	}
@@ -178,7 +178,7 @@
 	}
 	best.state.inFlight++
 	best.state.health.sent(now)
-	best.state.cache.add(request.Parts, request.Capacity, now)
+	best.state.cache.add(request.Segments, request.Capacity, now)
 	return &best
 }
 
@@ -196,10 +196,10 @@
 // replicas returns the candidates that hold a replica of the request's shared
 // prefix, nil if the request has no prompt or there are no candidates.
 func (picker *Picker) replicas(candidates []*membership.Endpoint, request *Request) *replicas {
-	if len(request.Parts) == 0 || len(candidates) == 0 {
+	if len(request.Segments) == 0 || len(candidates) == 0 {
 		return nil
 	}
-	entry := picker.prefixes.recordPrompt(request.Parts[0], candidates)
+	entry := picker.prefixes.recordPrompt(request.Segments[0], candidates)
 	return &replicas{prefix: entry, replicaCounts: picker.prefixes.replicaCounts(entry, request.Capacity, picker.serviceStats(candidates[0].Service).meanUtilisation())}
 }
 
@@ -214,7 +214,7 @@
 		cost += time.Duration(float64(stats.serviceTime) * queued / float64(slots))
 	}
 	cost += state.health.cost(stats.headerTime, now)
-	missing := state.cache.missing(request.Parts, prefixCached, now)
+	missing := state.cache.missing(request.Segments, prefixCached, now)
 	// Prefill delays all running requests of an engine and evicts cached
 	// tokens that other requests need.
 	cost += time.Duration(float64(stats.prefill.time(missing)) * evictionFactor * (1 + load))
@@ -259,8 +259,8 @@
 	return stats
 }
 
-// Answered records that the header of the endpoint's response arrived.
-func (choice *Choice) Answered() {
+// HeaderReceived records that the header of the endpoint's response arrived.
+func (choice *Choice) HeaderReceived() {
 	picker := choice.picker
 	picker.mu.Lock()
 	defer picker.mu.Unlock()
@@ -280,9 +280,9 @@
 	stats.headerTime += time.Duration(serviceTimeWeight * float64(headerTime-stats.headerTime))
 }
 
-// Learn records that one incarnation of an endpoint has a prompt segment cached
+// RecordCached records that one incarnation of an endpoint has a prompt segment cached
 // because of a request of another instance.
-func (picker *Picker) Learn(incarnation string, segment Part) {
+func (picker *Picker) RecordCached(incarnation string, segment Part) {
 	picker.mu.Lock()
 	defer picker.mu.Unlock()
 	picker.state(incarnation).cache.record(segment, picker.clock.Now())
@@ -357,9 +357,9 @@
 	}
 }
 
-// Forget drops the state of the incarnations that have no request in flight
+// Retain drops the state of the incarnations that have no request in flight
 // and for which keep returns false.
-func (picker *Picker) Forget(keep func(incarnation string) bool) {
+func (picker *Picker) Retain(keep func(incarnation string) bool) {
 	picker.mu.Lock()
 	defer picker.mu.Unlock()
 	for incarnation, state := range picker.endpoints {
--- a/balance/picker_test.go
+++ b/balance/picker_test.go
@@ -40,7 +40,7 @@
 	endpoints := fleet(4, "a", "b", "c")
 	counts := map[string]int{}
 	for i := range 96 {
-		choice := picker.Pick(endpoints, &balance.Request{DataCentre: "a", Parts: prompt(fmt.Sprint("s", i)), Capacity: 413343}, skipNone)
+		choice := picker.Pick(endpoints, &balance.Request{DataCentre: "a", Segments: prompt(fmt.Sprint("s", i)), Capacity: 413343}, skipNone)
 		require.NotNil(t, choice)
 		counts[choice.Endpoint().ID]++
 	}
@@ -67,7 +67,7 @@
 	}{{tokens: 1680, more: 1}, {tokens: 6400, more: 6}, {tokens: 1680, busy: 3, more: 6}} {
 		picker := balance.NewPicker(clock.NewFake(start))
 		endpoints := fleet(2, "a")
-		request := &balance.Request{DataCentre: "a", Parts: []balance.Part{{ID: "shared", Tokens: 12600}, {ID: "s", Tokens: test.tokens}}, Capacity: 413343}
+		request := &balance.Request{DataCentre: "a", Segments: []balance.Part{{ID: "shared", Tokens: 12600}, {ID: "s", Tokens: test.tokens}}, Capacity: 413343}
 		first := picker.Pick(endpoints, request, skipNone)
 		cachedAt := first.Endpoint().ID
 		first.Done(balance.OutcomeServed)
@@ -89,8 +89,8 @@
 func TestTurnPrefersEngineLearntFromAnotherInstance(t *testing.T) {
 	for range 20 {
 		picker := balance.NewPicker(clock.NewFake(start))
-		request := &balance.Request{DataCentre: "a", Parts: prompt("s"), Capacity: 413343}
-		picker.Learn("a-3", balance.Part{ID: "s", Tokens: 1680})
+		request := &balance.Request{DataCentre: "a", Segments: prompt("s"), Capacity: 413343}
+		picker.RecordCached("a-3", balance.Part{ID: "s", Tokens: 1680})
 		assert.Equal(t, "a-3", picker.Pick(fleet(4, "a"), request, skipNone).Endpoint().ID)
 	}
 }
@@ -114,7 +114,7 @@
 				clk.Advance(5 * time.Second) // the recorded segments expire
 			}
 			prefix := fmt.Sprint("shared", n%parts)
-			request := &balance.Request{DataCentre: "a", Capacity: 239772, Parts: []balance.Part{{ID: prefix, Tokens: 12600}, {ID: fmt.Sprint(instance, n), Tokens: 1680}}}
+			request := &balance.Request{DataCentre: "a", Capacity: 239772, Segments: []balance.Part{{ID: prefix, Tokens: 12600}, {ID: fmt.Sprint(instance, n), Tokens: 1680}}}
 			choice := picker.Pick(endpoints, request, skipNone)
 			choice.Done(balance.OutcomeServed)
 			if n < prompts/2 {
@@ -176,7 +176,7 @@
 func TestRestartedEndpointHasNewState(t *testing.T) {
 	picker := balance.NewPicker(clock.NewFake(start))
 	endpoints := fleet(2, "a")
-	request := &balance.Request{DataCentre: "a", Parts: prompt("s"), Capacity: 413343}
+	request := &balance.Request{DataCentre: "a", Segments: prompt("s"), Capacity: 413343}
 	skipSecond := func(id string) bool { return id != "a-0" }
 	var inFlight []*balance.Choice
 	for range 40 {
@@ -192,10 +192,10 @@
 	for _, choice := range inFlight {
 		choice.Done(balance.OutcomeBroken)
 	}
-	first.Answered()
+	first.HeaderReceived()
 	first.Done(balance.OutcomeServed)
 	assert.Equal(t, "a-0", picker.Pick(endpoints, request, skipNone).Endpoint().ID, "failures of the earlier incarnation do not count")
-	picker.Forget(func(incarnation string) bool { return incarnation != "a-0" })
+	picker.Retain(func(incarnation string) bool { return incarnation != "a-0" })
 	for _, view := range picker.Views() {
 		assert.NotEqual(t, "a-0", view.ID)
 	}
@@ -206,7 +206,7 @@
 	assert.Nil(t, picker.Pick(nil, &balance.Request{}, skipNone))
 	assert.Nil(t, picker.Pick(fleet(2, "a"), &balance.Request{}, func(string) bool { return true }))
 	picker.Pick(fleet(1, "a"), &balance.Request{}, skipNone)
-	picker.Forget(func(string) bool { return false })
+	picker.Retain(func(string) bool { return false })
 	assert.Len(t, picker.Views(), 1, "an endpoint with a request in flight is kept")
 }
 
@@ -215,7 +215,7 @@
 		b.Run(fmt.Sprint(endpoints), func(b *testing.B) {
 			picker := balance.NewPicker(clock.Real{})
 			list := fleet(endpoints/3, "a", "b", "c")
-			request := &balance.Request{DataCentre: "a", Parts: prompt("s"), Capacity: 413343}
+			request := &balance.Request{DataCentre: "a", Segments: prompt("s"), Capacity: 413343}
 			b.ReportAllocs()
 			for b.Loop() {
 				picker.Pick(list, request, skipNone).Done(balance.OutcomeServed)
--- a/balance/prefill_test.go
+++ b/balance/prefill_test.go
@@ -40,7 +40,7 @@
 	clk := clock.NewFake(start)
 	picker := balance.NewPicker(clk)
 	for n := range 400 {
-		request := &balance.Request{DataCentre: "a", Capacity: capacity, Parts: []balance.Part{
+		request := &balance.Request{DataCentre: "a", Capacity: capacity, Segments: []balance.Part{
 			{ID: fmt.Sprint("shared", rng.IntN(8)), Tokens: 12600}, {ID: fmt.Sprint("s", rng.IntN(200), n/40), Tokens: int64(300 + rng.IntN(2000))}}}
 		choice := picker.Pick(endpoints, request, skipNone)
 		missing := choice.MissingTokens
@@ -52,7 +52,7 @@
 			head = 2 * time.Second
 		}
 		clk.Advance(head)
-		choice.Answered()
+		choice.HeaderReceived()
 		choice.Done(balance.OutcomeServed)
 	}
 	return picker, clk
@@ -96,8 +96,8 @@
 			}
 		}
 		session := fmt.Sprint("r", n)
-		picker.Learn(endpoints[rng.IntN(len(endpoints))].ID, balance.Part{ID: session, Tokens: 6000})
-		request := &balance.Request{DataCentre: "a", Capacity: capacity, Parts: []balance.Part{{ID: "shared1", Tokens: 12600}, {ID: session, Tokens: 6400}}}
+		picker.RecordCached(endpoints[rng.IntN(len(endpoints))].ID, balance.Part{ID: session, Tokens: 6000})
+		request := &balance.Request{DataCentre: "a", Capacity: capacity, Segments: []balance.Part{{ID: "shared1", Tokens: 12600}, {ID: session, Tokens: 6400}}}
 		chosen := picker.Pick(endpoints, request, skipNone)
 		require.NotNil(t, chosen)
 		trueCost := func(load int, missing int64) time.Duration {
@@ -130,13 +130,13 @@
 		picker := balance.NewPicker(clk)
 		endpoints := fleet(1, "a")
 		for n := range 2000 {
-			choice := picker.Pick(endpoints, &balance.Request{DataCentre: "a", Capacity: 1e9, Parts: []balance.Part{{ID: "shared"}, {ID: fmt.Sprint(n), Tokens: int64(n%2) * 14000}}}, skipNone)
+			choice := picker.Pick(endpoints, &balance.Request{DataCentre: "a", Capacity: 1e9, Segments: []balance.Part{{ID: "shared"}, {ID: fmt.Sprint(n), Tokens: int64(n%2) * 14000}}}, skipNone)
 			clk.Advance(head)
-			choice.Answered()
+			choice.HeaderReceived()
 			choice.Done(balance.OutcomeServed)
 		}
 		clk.Advance(time.Minute)
-		choice := picker.Pick(endpoints, &balance.Request{DataCentre: "a", Capacity: 1e9, Parts: []balance.Part{{ID: "shared"}, {ID: "x", Tokens: 10000}}}, skipNone)
+		choice := picker.Pick(endpoints, &balance.Request{DataCentre: "a", Capacity: 1e9, Segments: []balance.Part{{ID: "shared"}, {ID: "x", Tokens: 10000}}}, skipNone)
 		assert.GreaterOrEqual(t, choice.Cost, 2*time.Millisecond)
 		assert.LessOrEqual(t, choice.Cost, 2*time.Second)
 	}
--- a/cmd/wagtaildrum/front.go
+++ b/cmd/wagtaildrum/front.go
@@ -297,7 +297,7 @@
 			f.process.log.Info("endpoint dropped: it did not register again after the store recovered", "endpoint", id)
 		}
 		f.client.Trim()
-		f.picker.Forget(f.list.HasIncarnation)
+		f.picker.Retain(f.list.HasIncarnation)
 	}, done)
 }
 
--- a/gateway/call.go
+++ b/gateway/call.go
@@ -32,8 +32,8 @@
 	// Previous is the ID of the turn that this one continues; empty for the
 	// first turn.
 	Previous string
-	// Parts are the segments of the prompt, in order.
-	Parts []balance.Part
+	// Segments are the segments of the prompt, in order.
+	Segments []balance.Part
 }
 
 // BadCallError is returned when a caller's header cannot be parsed.
--- a/gateway/dispatch.go
+++ b/gateway/dispatch.go
@@ -99,7 +99,7 @@
 	case verdict.NotRun:
 		return balance.OutcomeRefused, errors.New("request was not run by the endpoint: status " + strconv.Itoa(response.Status))
 	}
-	choice.Answered()
+	choice.HeaderReceived()
 	e.runs++
 	if !verdict.Stamped {
 		return balance.OutcomeBroken, errUnstamped
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -17,7 +17,7 @@
 	"github.com/wagtaildrum/wagtaildrum/upstream"
 )
 
-// Parts holds the dependencies and settings of a Gateway.
+// Segments holds the dependencies and settings of a Gateway.
 type Parts struct {
 	// Instance is this instance's name in the directory of instances.
 	Instance   string
--- a/gateway/serve.go
+++ b/gateway/serve.go
@@ -469,7 +469,7 @@
 	}
 	e.reservation = reservation
 	for _, place := range reservation.Places() {
-		e.Picker.Learn(place.Endpoint, balance.Part{ID: place.Part, Tokens: place.Tokens})
+		e.Picker.RecordCached(place.Endpoint, balance.Part{ID: place.Part, Tokens: place.Tokens})
 	}
 	return nil
 }
@@ -478,7 +478,7 @@
 // program. The first segment is shared with other programs.
 func (e *exchange) ownSegments() []string {
 	var ids []string
-	for i, segment := range e.call.Parts {
+	for i, segment := range e.call.Segments {
 		if i > 0 {
 			ids = append(ids, segment.ID)
 		}
@@ -490,7 +490,7 @@
 // prompt is cached.
 func (e *exchange) recordServed() {
 	e.serviceQueues.started(e.program, e.priority)
-	if segments := e.call.Parts; len(segments) > 1 {
+	if segments := e.call.Segments; len(segments) > 1 {
 		last := segments[len(segments)-1]
 		e.reservation.KeptAt(account.Place{Part: last.ID, Endpoint: e.incarnation, Tokens: last.Tokens + e.received*e.eventTokens(), Instance: e.Instance})
 	}
@@ -633,7 +633,7 @@
 // balanceRequest returns the properties of the request that the picker uses to
 // choose an endpoint.
 func (e *exchange) balanceRequest() *balance.Request {
-	request := &balance.Request{DataCentre: e.DataCentre, Parts: e.call.Parts}
+	request := &balance.Request{DataCentre: e.DataCentre, Segments: e.call.Segments}
 	if service := e.table.Service(e.service); service != nil && service.Model != nil {
 		request.Capacity = service.Model.Capacity
 	}
