--- a/admission/gate.go
+++ b/admission/gate.go
@@ -296,8 +296,8 @@
 	return g.running, g.queue.Len(), g.draining
 }
 
-// Usual returns the mean duration of an admitted call, 0 if none has ended yet.
-func (g *Gate[O]) Usual() time.Duration {
+// MeanServiceTime returns the mean duration of an admitted call, 0 if none has ended yet.
+func (g *Gate[O]) MeanServiceTime() time.Duration {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.meanServiceTime
--- a/admission/gate_bench_test.go
+++ b/admission/gate_bench_test.go
@@ -14,7 +14,7 @@
 func BenchmarkGate(b *testing.B) {
 	for _, callers := range []int{1, 64, 1024} {
 		b.Run(fmt.Sprintf("callers=%d", callers), func(b *testing.B) {
-			g := NewGate(OldestProgram{Most: DefaultMost}, Limits{Running: 16, Waiting: callers, Urgent: 2}, clock.Real{})
+			g := NewGate(OldestProgram{MaxShift: DefaultMaxShift}, Limits{Running: 16, Waiting: callers, Urgent: 2}, clock.Real{})
 			ctx := context.Background()
 			b.ReportAllocs()
 			var wg sync.WaitGroup
--- a/admission/gate_test.go
+++ b/admission/gate_test.go
@@ -97,17 +97,17 @@
 // a new program has just arrived. An order by tokens used alone, without regard
 // to the time waited, would pass over the first call forever.
 func TestNoCallStarves(t *testing.T) {
-	for _, order := range []admission.Order{admission.LeastAttained{PerToken: admission.DefaultPerToken, Most: admission.DefaultMost},
-		admission.OldestProgram{Most: admission.DefaultMost}} {
+	for _, order := range []admission.Order{admission.LeastAttained{PerToken: admission.DefaultPerToken, MaxShift: admission.DefaultMaxShift},
+		admission.OldestProgram{MaxShift: admission.DefaultMaxShift}} {
 		t.Run(fmt.Sprintf("%T", order), func(t *testing.T) {
 			l := newHarness(t, order, admission.Limits{Running: 1, Waiting: 100, Urgent: 2})
 			l.submit("running", admission.Ticket{})
 			require.Equal(t, "running", l.nextAdmitted())
 			l.submit("long", admission.Ticket{Attained: 250_000, Started: l.clk.Now()})
 			const step = 100 * time.Millisecond
-			for i := range 2 * int(admission.DefaultMost/step) {
+			for i := range 2 * int(admission.DefaultMaxShift/step) {
 				l.clk.Advance(step)
-				// New programs for one order, old programs for the other: each has
+				// FirstCall programs for one order, old programs for the other: each has
 				// those that it prefers.
 				l.submit(fmt.Sprint("other-", i), admission.Ticket{Started: l.clk.Now().Add(-time.Hour)})
 				if l.releaseOne() == "long" {
@@ -127,8 +127,8 @@
 		want  []string
 	}{
 		{admission.Arrival{}, []string{"new", "old", "short"}},
-		{admission.OldestProgram{Most: time.Minute}, []string{"old", "short", "new"}},
-		{admission.LeastAttained{PerToken: time.Millisecond, Most: time.Minute}, []string{"short", "new", "old"}},
+		{admission.OldestProgram{MaxShift: time.Minute}, []string{"old", "short", "new"}},
+		{admission.LeastAttained{PerToken: time.Millisecond, MaxShift: time.Minute}, []string{"short", "new", "old"}},
 	}
 	for _, c := range cases {
 		t.Run(fmt.Sprintf("%T", c.order), func(t *testing.T) {
--- a/admission/order.go
+++ b/admission/order.go
@@ -17,8 +17,8 @@
 	Attained int64
 	// Finish is when the program should be finished; zero if unknown.
 	Finish time.Time
-	// New reports whether no call of the program has been served yet.
-	New bool
+	// FirstCall reports whether no call of the program has been served yet.
+	FirstCall bool
 	// Deadline is when the caller stops waiting; zero means never.
 	Deadline time.Time
 }
@@ -57,9 +57,9 @@
 	case NameArrival:
 		return Arrival{}, nil
 	case NameLeastAttained:
-		return LeastAttained{PerToken: DefaultPerToken, Most: DefaultMost}, nil
+		return LeastAttained{PerToken: DefaultPerToken, MaxShift: DefaultMaxShift}, nil
 	case NameOldestProgram:
-		return OldestProgram{Most: DefaultMost}, nil
+		return OldestProgram{MaxShift: DefaultMaxShift}, nil
 	}
 	return nil, &OrderError{name: name}
 }
@@ -69,9 +69,9 @@
 	// DefaultPerToken is the delay of a call for each token its program has
 	// used.
 	DefaultPerToken = 100 * time.Microsecond
-	// DefaultMost is the maximum shift of a call's key from its arrival time.
+	// DefaultMaxShift is the maximum shift of a call's key from its arrival time.
 	// It is also the longest that calls arriving later can precede a call.
-	DefaultMost = 5 * time.Second
+	DefaultMaxShift = 5 * time.Second
 )
 
 // epoch is the time that keys are relative to.
@@ -86,21 +86,21 @@
 // LeastAttained prefers programs that have used few tokens. The remaining demand
 // of a program is unknown, and a program that has used few tokens is the most
 // likely to be short. A call is delayed by PerToken for each token its program
-// has used, at most by Most.
+// has used, at most by MaxShift.
 type LeastAttained struct {
-	PerToken, Most time.Duration
+	PerToken, MaxShift time.Duration
 }
 
 // Key returns the ticket's arrival time plus the delay for the tokens used.
 func (l LeastAttained) Key(t *Ticket) time.Duration {
-	return t.Arrived.Sub(epoch) + min(time.Duration(t.Attained)*l.PerToken, l.Most)
+	return t.Arrived.Sub(epoch) + min(time.Duration(t.Attained)*l.PerToken, l.MaxShift)
 }
 
 // OldestProgram prefers programs that started early. A call counts as having
-// arrived when its program started, at most Most before its actual arrival, so
+// arrived when its program started, at most MaxShift before its actual arrival, so
 // that new programs do not overtake those near their end or already late.
 type OldestProgram struct {
-	Most time.Duration
+	MaxShift time.Duration
 }
 
 // Key returns the ticket's arrival time minus the age of its program.
@@ -109,7 +109,7 @@
 	if t.Started.IsZero() {
 		age = 0
 	}
-	return t.Arrived.Sub(epoch) - min(max(age, 0), o.Most)
+	return t.Arrived.Sub(epoch) - min(max(age, 0), o.MaxShift)
 }
 
 // Ranks of programs within a class, the lowest first.
@@ -120,7 +120,7 @@
 	ranks
 )
 
-// InTime maximises the number of programs that finish on time when not all can:
+// EarliestFinish maximises the number of programs that finish on time when not all can:
 // started programs go first, then new ones, the newest first, and late ones last.
 // In order of arrival all programs would be late under a slight overload: the
 // first turn of a new program takes the slot of a program that is about to
@@ -129,16 +129,16 @@
 // programs start does not matter, and the newest has the most time remaining.
 // Keys are not bounded as Order describes, so calls must have a deadline: old
 // ones may wait until it.
-type InTime struct{}
+type EarliestFinish struct{}
 
 // Class returns the class of a ticket with the given urgency. A late program of
 // an urgent class goes after a program of a less urgent class that is on time.
-func (InTime) Class(urgency int, t *Ticket) int {
+func (EarliestFinish) Class(urgency int, t *Ticket) int {
 	const urgencies = 1 << 16
 	switch {
 	case t.Late():
 		return (urgency-urgencies)*ranks + rankLate
-	case t.New:
+	case t.FirstCall:
 		return urgency*ranks + rankNew
 	}
 	return urgency*ranks + rankStarted
@@ -147,9 +147,9 @@
 // Key returns the ticket's finish time if its program has started and is on time,
 // and its arrival time if it is late or has no finish time. For a new program it
 // is the negated arrival time, so that the newest is first.
-func (InTime) Key(t *Ticket) time.Duration {
+func (EarliestFinish) Key(t *Ticket) time.Duration {
 	switch {
-	case t.New && !t.Late():
+	case t.FirstCall && !t.Late():
 		return -t.Arrived.Sub(epoch)
 	case t.Finish.IsZero() || t.Late():
 		return t.Arrived.Sub(epoch)
--- a/admission/window.go
+++ b/admission/window.go
@@ -60,10 +60,10 @@
 // Size returns the maximum number of requests in flight.
 func (window *Window) Size() int { return max(int(window.size), minWindow) }
 
-// Told adjusts the window to an endpoint's report of its queue and slots.
+// ObserveQueue adjusts the window to an endpoint's report of its queue and slots.
 // running and waiting are this instance's requests in flight at the service and
 // waiting here, and serviceTime is the mean duration of a request.
-func (window *Window) Told(queue, slots, running, waiting int, serviceTime time.Duration) {
+func (window *Window) ObserveQueue(queue, slots, running, waiting int, serviceTime time.Duration) {
 	delay := serviceTime * time.Duration(queue) / time.Duration(max(slots, 1))
 	window.delay += time.Duration(meanDelayWeight * float64(delay-window.delay))
 	limit := minDelayLimit + time.Duration(delayLimitFactor*float64(serviceTime))
--- a/admission/window_test.go
+++ b/admission/window_test.go
@@ -29,7 +29,7 @@
 	window := admission.NewWindow(clk)
 	running := 60
 	for range 100 {
-		window.Told(12, 8, running, 20, turnTime)
+		window.ObserveQueue(12, 8, running, 20, turnTime)
 		running = min(running, window.Size())
 		clk.Advance(20 * time.Millisecond)
 	}
@@ -37,7 +37,7 @@
 	small := window.Size()
 	assert.GreaterOrEqual(t, small, 2)
 	for range 100 {
-		window.Told(0, 8, window.Size(), 20, turnTime)
+		window.ObserveQueue(0, 8, window.Size(), 20, turnTime)
 	}
 	assert.GreaterOrEqual(t, window.Size(), 10*small)
 }
@@ -52,7 +52,7 @@
 	window := admission.NewWindow(clk)
 	before := window.Size()
 	for n := range 400 {
-		window.Told(n%9, 6, 4, 0, callTime)
+		window.ObserveQueue(n%9, 6, 4, 0, callTime)
 		clk.Advance(20 * time.Millisecond)
 	}
 	assert.Equal(t, before, window.Size())
@@ -64,7 +64,7 @@
 func TestSimultaneousReportsShrinkWindowOnce(t *testing.T) {
 	window := admission.NewWindow(clock.NewFake(morning))
 	for range 20 {
-		window.Told(12, 8, 40, 0, turnTime)
+		window.ObserveQueue(12, 8, 40, 0, turnTime)
 	}
 	assert.Equal(t, 34, window.Size())
 }
@@ -75,9 +75,9 @@
 // late, and late ones delay those that are on time.
 func TestProgramsOnTimePrecedeLateOnes(t *testing.T) {
 	ticket := func(urgency int, arrived, finish time.Duration, isNew bool) *admission.Ticket {
-		return &admission.Ticket{Urgency: urgency, Arrived: morning.Add(arrived), Finish: morning.Add(finish), New: isNew}
+		return &admission.Ticket{Urgency: urgency, Arrived: morning.Add(arrived), Finish: morning.Add(finish), FirstCall: isNew}
 	}
-	order := admission.InTime{}
+	order := admission.EarliestFinish{}
 	want := []*admission.Ticket{
 		ticket(0, 30*time.Millisecond, 500*time.Millisecond, false), // about to end
 		ticket(0, 0, 2*time.Second, false),
--- a/gateway/admit.go
+++ b/gateway/admit.go
@@ -60,7 +60,7 @@
 // serviceQueue is the admission queue of one service.
 type serviceQueue struct {
 	// gate holds the waiting requests.
-	gate *admission.Gate[admission.InTime]
+	gate *admission.Gate[admission.EarliestFinish]
 
 	mu sync.Mutex
 	// window determines how many requests gate lets run at once.
@@ -83,7 +83,7 @@
 	if !ok {
 		window := admission.NewWindow(serviceQueues.clock)
 		limits := admission.Limits{Running: window.Size(), Waiting: maxWaiting, Urgent: 1}
-		queue = &serviceQueue{gate: admission.NewGate(admission.InTime{}, limits, serviceQueues.clock), window: window}
+		queue = &serviceQueue{gate: admission.NewGate(admission.EarliestFinish{}, limits, serviceQueues.clock), window: window}
 		serviceQueues.services[service] = queue
 	}
 	return queue
@@ -157,14 +157,14 @@
 	running, waiting, _ := serviceQueue.gate.Stats()
 	serviceQueue.mu.Lock()
 	defer serviceQueue.mu.Unlock()
-	serviceQueue.window.Told(load.Waiting, load.Slots, running, waiting, serviceQueue.gate.Usual())
+	serviceQueue.window.ObserveQueue(load.Waiting, load.Slots, running, waiting, serviceQueue.gate.MeanServiceTime())
 	serviceQueue.gate.SetRunning(serviceQueue.window.Size())
 }
 
 // maxWait returns how long a request with the given remaining time may wait in
 // the queue.
 func (serviceQueue *serviceQueue) maxWait(remaining time.Duration) time.Duration {
-	reserved := max(responseTimeFactor*serviceQueue.gate.Usual(), time.Duration(minResponseShare*float64(remaining)))
+	reserved := max(responseTimeFactor*serviceQueue.gate.MeanServiceTime(), time.Duration(minResponseShare*float64(remaining)))
 	return max(remaining-reserved, 0)
 }
 
@@ -177,11 +177,11 @@
 	maxWait := e.serviceQueue.maxWait(e.deadline.Sub(now))
 	entry := e.serviceQueues.program(e.program, route.Rank(e.organisation, e.route), e.spendsBudget())
 	e.priority = entry.priority
-	ticket := admission.Ticket{Urgency: -entry.priority, New: !entry.started, Arrived: now, Deadline: now.Add(queueDelayFactor * maxWait)}
+	ticket := admission.Ticket{Urgency: -entry.priority, FirstCall: !entry.started, Arrived: now, Deadline: now.Add(queueDelayFactor * maxWait)}
 	if e.call.Finish > 0 {
 		ticket.Finish = e.arrived.Add(e.call.Finish)
 	}
-	ticket.Urgency = admission.InTime{}.Class(ticket.Urgency, &ticket)
+	ticket.Urgency = admission.EarliestFinish{}.Class(ticket.Urgency, &ticket)
 	waiting, cancel := context.WithTimeout(ctx, maxWait)
 	defer cancel()
 	release, err = e.serviceQueue.gate.Acquire(waiting, ticket)
--- a/sidecar/sidecar.go
+++ b/sidecar/sidecar.go
@@ -70,7 +70,7 @@
 	endpoint := sling.New().Client(hc).Base(s.Endpoint)
 	order, err := admission.NewOrder(s.Order)
 	if err != nil {
-		order = admission.OldestProgram{Most: admission.DefaultMost}
+		order = admission.OldestProgram{MaxShift: admission.DefaultMaxShift}
 	}
 	limits := admission.Limits{Running: s.MaxConcurrent, UrgentOnly: s.UrgentOnly, Waiting: s.MaxQueued, Urgent: int(program.UrgencyUrgent)}
 	return &Sidecar{
