--- a/discovery/follower.go
+++ b/discovery/follower.go
@@ -202,7 +202,7 @@
 			log.Error("configuration rejected; the last configuration stays in force", "row_version", row.Version, "err", err)
 			return
 		}
-		if current.Offer(table) {
+		if current.StoreIfNewer(table) {
 			log.Info("configuration in force", "version", table.Version(), "row_version", row.Version, "routes", table.Routes())
 		}
 	}
--- a/gateway/serve.go
+++ b/gateway/serve.go
@@ -242,7 +242,7 @@
 	if err := e.authenticate(); err != nil {
 		return err
 	}
-	e.service = e.route.Pick()
+	e.service = e.route.PickService()
 	wait := e.route.Timeout
 	if call.Deadline > 0 {
 		wait = min(wait, call.Deadline)
@@ -425,7 +425,7 @@
 // eventTimeout returns how long the caller waits for the next event of the
 // response.
 func (e *exchange) eventTimeout() time.Duration {
-	return max(minEventTimeout, objectiveFactor*e.route.Objective, pauseFactor*e.route.Pause)
+	return max(minEventTimeout, objectiveFactor*e.route.Objective, pauseFactor*e.route.MaxEventGap)
 }
 
 // storeUnavailable returns the refusal of a request that needs the store.
--- a/route/route.go
+++ b/route/route.go
@@ -41,8 +41,8 @@
 	// Objective is the time within which a response has its full value; for a
 	// stream, the time to the first event.
 	Objective time.Duration
-	// Pause is the maximum gap between events of a response that is on time.
-	Pause time.Duration
+	// MaxEventGap is the maximum gap between events of a response that is on time.
+	MaxEventGap time.Duration
 	// Priority is the priority of the route's requests; 0 is the highest.
 	Priority int
 	// Attempts is the maximum number of endpoints that may run one request; at
@@ -64,8 +64,8 @@
 	return route.Kind == KindIdempotent || route.Kind == KindStream && route.Resumable
 }
 
-// Pick returns the service for the next request, at random by weight.
-func (route *Route) Pick() string {
+// PickService returns the service for the next request, at random by weight.
+func (route *Route) PickService() string {
 	if len(route.Targets) == 1 {
 		return route.Targets[0].Service
 	}
--- a/route/table.go
+++ b/route/table.go
@@ -7,14 +7,14 @@
 	"sync/atomic"
 )
 
-// InvalidError is returned by NewTable for a configuration with an invalid route.
-type InvalidError struct {
+// InvalidRouteError is returned by NewTable for a configuration with an invalid route.
+type InvalidRouteError struct {
 	route  string
 	reason string
 }
 
 // Error returns a message with the name of the invalid route and the reason.
-func (e *InvalidError) Error() string {
+func (e *InvalidRouteError) Error() string {
 	return fmt.Sprintf("configuration invalid: route %q: %s", e.route, e.reason)
 }
 
@@ -28,7 +28,7 @@
 	limits        Limits
 }
 
-// NewTable returns the table of a configuration. It returns an *InvalidError if a
+// NewTable returns the table of a configuration. It returns an *InvalidRouteError if a
 // route has no host, no target or an invalid prefix, and an
 // *InvalidOrganisationError if an organisation is invalid or shares a name or key
 // with another one. Without organisations, callers need no key.
@@ -56,15 +56,15 @@
 	return table, nil
 }
 
-// validate returns an *InvalidError if the route cannot be served.
+// validate returns an *InvalidRouteError if the route cannot be served.
 func validate(route *Route) error {
 	switch {
 	case route.Host == "":
-		return &InvalidError{route: route.Name, reason: "missing host"}
+		return &InvalidRouteError{route: route.Name, reason: "missing host"}
 	case !strings.HasPrefix(route.Prefix, "/") || !strings.HasSuffix(route.Prefix, "/"):
-		return &InvalidError{route: route.Name, reason: "prefix does not begin and end with a slash"}
+		return &InvalidRouteError{route: route.Name, reason: "prefix does not begin and end with a slash"}
 	case len(route.Targets) == 0:
-		return &InvalidError{route: route.Name, reason: "no target service"}
+		return &InvalidRouteError{route: route.Name, reason: "no target service"}
 	}
 	return nil
 }
@@ -116,9 +116,9 @@
 // Load returns the active table, nil before the first.
 func (current *Current) Load() *Table { return current.table.Load() }
 
-// Offer makes table the active one if it is newer than the present one, and
+// StoreIfNewer makes table the active one if it is newer than the present one, and
 // reports whether it did.
-func (current *Current) Offer(table *Table) bool {
+func (current *Current) StoreIfNewer(table *Table) bool {
 	for {
 		old := current.table.Load()
 		if old != nil && old.version >= table.version {
--- a/route/table_test.go
+++ b/route/table_test.go
@@ -38,7 +38,7 @@
 			continue
 		}
 		require.NotNil(t, matched, "%s%s", test.host, test.path)
-		assert.Equal(t, test.service, matched.Pick())
+		assert.Equal(t, test.service, matched.PickService())
 	}
 }
 
@@ -48,11 +48,11 @@
 func TestCurrentRejectsOlderTables(t *testing.T) {
 	var current route.Current
 	require.Nil(t, current.Load())
-	assert.True(t, current.Offer(table(t, 7)))
-	assert.False(t, current.Offer(table(t, 5)))
-	assert.False(t, current.Offer(table(t, 7)))
+	assert.True(t, current.StoreIfNewer(table(t, 7)))
+	assert.False(t, current.StoreIfNewer(table(t, 5)))
+	assert.False(t, current.StoreIfNewer(table(t, 7)))
 	assert.EqualValues(t, 7, current.Load().Version())
-	assert.True(t, current.Offer(table(t, 12)))
+	assert.True(t, current.StoreIfNewer(table(t, 12)))
 	assert.EqualValues(t, 12, current.Load().Version())
 }
 
@@ -63,7 +63,7 @@
 		"no service": {Name: "r", Host: "a.example", Prefix: "/x/"},
 	} {
 		_, err := route.NewTable(1, []*route.Route{bad}, nil, nil, route.Limits{})
-		var invalid *route.InvalidError
+		var invalid *route.InvalidRouteError
 		assert.ErrorAs(t, err, &invalid, name)
 	}
 }
@@ -72,7 +72,7 @@
 	split := &route.Route{Targets: []route.Target{{Service: "a", Weight: 90}, {Service: "b", Weight: 10}, {Service: "c", Weight: 0}}}
 	counts := map[string]int{}
 	for range 10000 {
-		counts[split.Pick()]++
+		counts[split.PickService()]++
 	}
 	assert.InDelta(t, 9000, counts["a"], 300)
 	assert.InDelta(t, 1000, counts["b"], 300)
