--- a/account/escrow.go
+++ b/account/escrow.go
@@ -65,7 +65,7 @@
 func (manager *Keeper) Acquire(members Members) func(context.Context, chan<- error) {
 	return func(ctx context.Context, done chan<- error) {
 		defer func() { done <- nil }()
-		backoff := retry.Backoff{First: initialAcquireBackoff, Most: maxAcquireBackoff}
+		backoff := retry.Backoff{Initial: initialAcquireBackoff, Max: maxAcquireBackoff}
 		started := manager.clock.Now()
 		for {
 			delay := acquireInterval
@@ -77,7 +77,7 @@
 					delay = acquireInterval
 				}
 			} else {
-				backoff = retry.Backoff{First: initialAcquireBackoff, Most: maxAcquireBackoff}
+				backoff = retry.Backoff{Initial: initialAcquireBackoff, Max: maxAcquireBackoff}
 			}
 			if !clock.Sleep(ctx, delay) {
 				return
--- a/archive/archive.go
+++ b/archive/archive.go
@@ -211,7 +211,7 @@
 	if err != nil {
 		return err
 	}
-	backoff := retry.Backoff{First: initialWriteDelay, Most: maxWriteDelay}
+	backoff := retry.Backoff{Initial: initialWriteDelay, Max: maxWriteDelay}
 	for {
 		primary, secondary := turnPartitions(turn.ID)
 		err := archive.write(ctx, primary, turn.ID, values)
--- a/discovery/follower.go
+++ b/discovery/follower.go
@@ -84,7 +84,7 @@
 // when it returns.
 func (follower *Follower) Run(ctx context.Context, done chan<- error) {
 	after, synced := uint64(0), false
-	backoff := retry.Backoff{First: initialBackoff, Most: maxBackoff}
+	backoff := retry.Backoff{Initial: initialBackoff, Max: maxBackoff}
 	failing := false
 	lastSuccess := follower.clock.Now()
 	for ctx.Err() == nil {
@@ -102,7 +102,7 @@
 				follower.source.Back()
 			}
 			failing, lastSuccess = false, now
-			backoff = retry.Backoff{First: initialBackoff, Most: maxBackoff}
+			backoff = retry.Backoff{Initial: initialBackoff, Max: maxBackoff}
 			follower.stale.Update(0)
 			continue
 		}
--- a/entrypeer/directory.go
+++ b/entrypeer/directory.go
@@ -128,12 +128,12 @@
 			log.Error("cannot encode the entry of this instance; other instances will not find it", "err", err)
 			return
 		}
-		backoff := retry.Backoff{First: initialJoinBackoff, Most: maxJoinBackoff}
+		backoff := retry.Backoff{Initial: initialJoinBackoff, Max: maxJoinBackoff}
 		for {
 			_, err := s.Commit(ctx, store.Transaction{Puts: []store.Put{{Key: directory.selfKey(), Value: value}}})
 			if err == nil {
 				log.Info("entry of this instance written; other instances can find it", "address", directory.self.Address, "owner", directory.self.Owner)
-				backoff = retry.Backoff{First: initialJoinBackoff, Most: maxJoinBackoff}
+				backoff = retry.Backoff{Initial: initialJoinBackoff, Max: maxJoinBackoff}
 				select {
 				case <-ctx.Done():
 					return
--- a/journal/writer.go
+++ b/journal/writer.go
@@ -311,7 +311,7 @@
 // has the same name and content.
 func (w *Writer) writeBatch(ctx context.Context, b *encodedBatch) bool {
 	key := batchKey(w.name, b.number)
-	backoff := retry.Backoff{First: initialRetryDelay, Most: maxRetryDelay}
+	backoff := retry.Backoff{Initial: initialRetryDelay, Max: maxRetryDelay}
 	for attempt := 1; ; attempt++ {
 		location, err := w.putBatch(ctx, key, b.raw)
 		if err == nil {
--- a/retry/budget.go
+++ b/retry/budget.go
@@ -47,9 +47,9 @@
 // Backoff returns growing random delays between attempts. The zero value returns
 // no delay. A Backoff is not safe for concurrent use.
 type Backoff struct {
-	// First is the upper bound of the first delay. The bound doubles with each
-	// attempt up to Most.
-	First, Most time.Duration
+	// Initial is the upper bound of the first delay. The bound doubles with each
+	// attempt up to Max.
+	Initial, Max time.Duration
 
 	attempts int
 }
@@ -58,9 +58,9 @@
 // current bound ("full jitter"), so that callers that failed at the same time do
 // not retry at the same time.
 func (b *Backoff) Next() time.Duration {
-	bound := b.First << min(b.attempts, 30)
-	if bound <= 0 || bound > b.Most {
-		bound = b.Most
+	bound := b.Initial << min(b.attempts, 30)
+	if bound <= 0 || bound > b.Max {
+		bound = b.Max
 	}
 	b.attempts++
 	return Jitter(bound)
--- a/retry/budget_test.go
+++ b/retry/budget_test.go
@@ -30,7 +30,7 @@
 
 // TestBackoffIsBounded checks the bounds of the delays.
 func TestBackoffIsBounded(t *testing.T) {
-	b := retry.Backoff{First: 10 * time.Millisecond, Most: 100 * time.Millisecond}
+	b := retry.Backoff{Initial: 10 * time.Millisecond, Max: 100 * time.Millisecond}
 	bound := 10 * time.Millisecond
 	for range 100 {
 		require.LessOrEqual(t, b.Next(), bound)
--- a/tableservice/client.go
+++ b/tableservice/client.go
@@ -57,7 +57,7 @@
 // seconds. do returns the error of the last attempt, an *Error that names
 // op and key.
 func (c *Client) do(ctx context.Context, op, key string, s *sling.Sling, out any) error {
-	backoff := retry.Backoff{First: throttleInitialDelay, Most: throttleMaxDelay}
+	backoff := retry.Backoff{Initial: throttleInitialDelay, Max: throttleMaxDelay}
 	for deadline := time.Now().Add(throttleRetryPeriod); ; {
 		err := c.doOnce(ctx, op, key, s, out)
 		if !Is(err, FailureThrottled) || time.Now().After(deadline) {
