--- a/entrypeer/credit.go
+++ b/entrypeer/credit.go
@@ -19,30 +19,30 @@
 // QuotaHome serves requests for the quotas of organisations whose home this
 // instance is. *quota.Limiter implements it.
 type QuotaHome interface {
-	// Answer serves a request of another instance for an organisation's quota.
+	// CreditResponse serves a request of another instance for an organisation's quota.
 	// It returns quota.ErrNotHome or quota.ErrStopping if this instance cannot
 	// serve as the home.
-	Answer(ctx context.Context, question quota.Question) (quota.Answer, error)
+	CreditResponse(ctx context.Context, question quota.HomeRequest) (quota.CreditResponse, error)
 	// Transfer exchanges token buckets with another home: it takes over the
 	// balances in transfer and returns the wanted ones.
 	Transfer(transfer quota.Transfer) (quota.Transfer, error)
 }
 
-// creditRequest is the encoding of a quota.Question. One is sent for most
+// creditRequest is the encoding of a quota.HomeRequest. One is sent for most
 // requests of callers, so it is kept short: the fields are encoded by position,
-// without their names. The fields are those of quota.Question, quota.Limit and
-// quota.Ask.
+// without their names. The fields are those of quota.HomeRequest, quota.Limit and
+// quota.CreditRequest.
 type creditRequest struct {
 	_            struct{} `cbor:",toarray"`
 	Organisation string
 	Rate, Burst  float64
 	Version      uint64
-	Asker        string
+	Instance     string
 	Program      uint64
 	New          bool
-	Patience     time.Duration
-	Left         int
-	Spare        int
+	MaxWait      time.Duration
+	Remaining    int
+	Ahead        int
 	Returned     int
 	Hops         int
 }
@@ -58,21 +58,21 @@
 			return false
 		}
 	}
-	for _, amount := range []int{message.Left + 1, message.Spare, message.Returned, message.Hops} {
+	for _, amount := range []int{message.Remaining + 1, message.Ahead, message.Returned, message.Hops} {
 		if amount < 0 || amount > maxCredit {
 			return false
 		}
 	}
-	return message.Organisation != "" && message.Patience <= time.Minute
+	return message.Organisation != "" && message.MaxWait <= time.Minute
 }
 
-// creditResponse is the encoding of a quota.Answer. Its fields are encoded by
+// creditResponse is the encoding of a quota.CreditResponse. Its fields are encoded by
 // position.
 type creditResponse struct {
 	_       struct{} `cbor:",toarray"`
 	Granted bool
 	Wait    time.Duration
-	Spare   int
+	Ahead   int
 	Level   float32
 }
 
@@ -90,27 +90,27 @@
 // is unreachable.
 const maxHomeCandidates = 3
 
-// AskCredit implements quota.Peers. A timeout does not exclude the instance
+// RequestCredit implements quota.Peers. A timeout does not exclude the instance
 // from other calls; a refused connection, which shows that its process has
 // terminated, does. It returns an *UnavailableError if the directory has no
 // instance called name.
-func (client *Client) AskCredit(ctx context.Context, name string, question quota.Question) (quota.Answer, error) {
+func (client *Client) RequestCredit(ctx context.Context, name string, question quota.HomeRequest) (quota.CreditResponse, error) {
 	instance, ok := client.directory.byName(name)
 	if !ok {
-		return quota.Answer{}, &UnavailableError{instance: name}
+		return quota.CreditResponse{}, &UnavailableError{instance: name}
 	}
-	ask := question.Ask
+	ask := question.CreditRequest
 	message := creditRequest{Organisation: question.Organisation, Rate: question.Limit.Rate, Burst: question.Limit.Burst, Version: question.Limit.Version,
-		Asker: ask.Asker, Program: ask.Program, New: ask.New, Patience: ask.Patience, Left: ask.Left, Spare: ask.Spare, Returned: ask.Returned, Hops: question.Hops}
+		Instance: ask.Instance, Program: ask.Program, New: ask.New, MaxWait: ask.MaxWait, Remaining: ask.Remaining, Ahead: ask.Ahead, Returned: ask.Returned, Hops: question.Hops}
 	var response creditResponse
 	if err := client.exchange(ctx, instance, pathCredit, &message, &response); err != nil {
 		err = readQuotaError(err)
 		if errors.Is(err, quota.ErrNotRunning) {
 			client.directory.markFailed(instance, false)
 		}
-		return quota.Answer{}, err
+		return quota.CreditResponse{}, err
 	}
-	return quota.Answer{Granted: response.Granted, Wait: response.Wait, Spare: response.Spare, Level: float64(response.Level)}, nil
+	return quota.CreditResponse{Granted: response.Granted, Wait: response.Wait, Ahead: response.Ahead, Level: float64(response.Level)}, nil
 }
 
 // handleCredit serves a request for quota credit.
@@ -123,23 +123,23 @@
 		http.Error(w, "quota request has a field out of range", http.StatusBadRequest)
 		return
 	}
-	response, err := server.Quotas.Answer(r.Context(), quota.Question{
-		Organisation: message.Organisation,
-		Limit:        quota.Limit{Rate: message.Rate, Burst: message.Burst, Version: message.Version},
-		Ask:          quota.Ask{Asker: message.Asker, Program: message.Program, New: message.New, Patience: message.Patience, Left: message.Left, Spare: message.Spare, Returned: message.Returned},
-		Hops:         message.Hops,
+	response, err := server.Quotas.CreditResponse(r.Context(), quota.HomeRequest{
+		Organisation:  message.Organisation,
+		Limit:         quota.Limit{Rate: message.Rate, Burst: message.Burst, Version: message.Version},
+		CreditRequest: quota.CreditRequest{Instance: message.Instance, Program: message.Program, New: message.New, MaxWait: message.MaxWait, Remaining: message.Remaining, Ahead: message.Ahead, Returned: message.Returned},
+		Hops:          message.Hops,
 	})
 	if err != nil {
 		writeQuotaError(w, err)
 		return
 	}
-	server.reply(w, &creditResponse{Granted: response.Granted, Wait: response.Wait, Spare: response.Spare, Level: float32(response.Level)})
+	server.reply(w, &creditResponse{Granted: response.Granted, Wait: response.Wait, Ahead: response.Ahead, Level: float32(response.Level)})
 }
 
-// HandOver implements quota.Peers. It sends transfer to the instance called
+// TransferBuckets implements quota.Peers. It sends transfer to the instance called
 // name and returns the buckets transferred in return. It returns an
 // *UnavailableError if the directory has no such instance.
-func (client *Client) HandOver(ctx context.Context, name string, transfer quota.Transfer) (quota.Transfer, error) {
+func (client *Client) TransferBuckets(ctx context.Context, name string, transfer quota.Transfer) (quota.Transfer, error) {
 	instance, ok := client.directory.byName(name)
 	if !ok {
 		return quota.Transfer{}, &UnavailableError{instance: name}
@@ -198,16 +198,16 @@
 // Self implements quota.Peers.
 func (client *Client) Self() string { return client.directory.selfKey().Name }
 
-// Joined implements quota.Peers.
-func (client *Client) Joined(name string) time.Time {
+// JoinedAt implements quota.Peers.
+func (client *Client) JoinedAt(name string) time.Time {
 	directory := client.directory
 	directory.mu.Lock()
 	defer directory.mu.Unlock()
 	return directory.joinedAt[name]
 }
 
-// Settled implements quota.Peers.
-func (client *Client) Settled() time.Duration {
+// StableFor implements quota.Peers.
+func (client *Client) StableFor() time.Duration {
 	directory := client.directory
 	directory.mu.Lock()
 	defer directory.mu.Unlock()
--- a/entrypeer/credit_test.go
+++ b/entrypeer/credit_test.go
@@ -102,14 +102,14 @@
 		client := entrypeer.NewClient(directory)
 		instance := entrypeer.Instance{Name: "a", Owner: entrypeer.NewOwner("a", now), Address: a.server.Listener.Addr().String()}
 		directory.Observe(instance)
-		_, err := client.HandOver(context.Background(), "a", quota.Transfer{From: "new"})
+		_, err := client.TransferBuckets(context.Background(), "a", quota.Transfer{From: "new"})
 		require.NoError(t, err)
 	}
 	call("10.0.0.2:1", now)
 	assert.Contains(t, a.client.Homes("x", true), "new")
-	joined := a.client.Joined("new")
+	joined := a.client.JoinedAt("new")
 	call("10.0.0.1:1", now.Add(-time.Second))
-	assert.Equal(t, joined, a.client.Joined("new"), "the earlier incarnation is not recorded")
+	assert.Equal(t, joined, a.client.JoinedAt("new"), "the earlier incarnation is not recorded")
 }
 
 // FuzzCreditMessage checks that any body is either served or rejected with a
--- a/entrypeer/entrypeer_test.go
+++ b/entrypeer/entrypeer_test.go
@@ -172,7 +172,7 @@
 	require.Contains(t, own.client.Homes("x", false), "ended")
 	ended.server.CloseClientConnections()
 	ended.server.Close()
-	_, err := own.client.AskCredit(context.Background(), "ended", quota.Question{Organisation: "x", Limit: quota.Limit{Rate: 1, Burst: 1}})
+	_, err := own.client.RequestCredit(context.Background(), "ended", quota.HomeRequest{Organisation: "x", Limit: quota.Limit{Rate: 1, Burst: 1}})
 	require.ErrorIs(t, err, quota.ErrNotRunning)
 	assert.NotContains(t, own.client.Homes("x", false), "ended")
 }
--- a/gateway/gateway_test.go
+++ b/gateway/gateway_test.go
@@ -93,15 +93,15 @@
 
 func (singleInstance) Self() string { return "i" }
 
-func (singleInstance) Joined(string) time.Time { return time.Time{} }
+func (singleInstance) JoinedAt(string) time.Time { return time.Time{} }
 
-func (singleInstance) Settled() time.Duration { return time.Hour }
+func (singleInstance) StableFor() time.Duration { return time.Hour }
 
-func (singleInstance) AskCredit(context.Context, string, quota.Question) (quota.Answer, error) {
-	return quota.Answer{}, quota.ErrNotHome
+func (singleInstance) RequestCredit(context.Context, string, quota.HomeRequest) (quota.CreditResponse, error) {
+	return quota.CreditResponse{}, quota.ErrNotHome
 }
 
-func (singleInstance) HandOver(context.Context, string, quota.Transfer) (quota.Transfer, error) {
+func (singleInstance) TransferBuckets(context.Context, string, quota.Transfer) (quota.Transfer, error) {
 	return quota.Transfer{}, quota.ErrNotHome
 }
 
--- a/gateway/quota.go
+++ b/gateway/quota.go
@@ -27,8 +27,8 @@
 	}
 	began := e.Clock.Now()
 	limit := quota.Limit{Rate: e.organisation.Quota.Rate, Burst: e.organisation.Quota.Burst, Version: e.table.Version()}
-	maxWait := min(quota.MostPatience, time.Duration(maxQuotaWaitShare*float64(e.deadline.Sub(began))))
-	request := quota.Request{New: e.beginsProgram(), Patience: maxWait}
+	maxWait := min(quota.MaxCreditWait, time.Duration(maxQuotaWaitShare*float64(e.deadline.Sub(began))))
+	request := quota.Request{New: e.beginsProgram(), MaxWait: maxWait}
 	if e.program != "" {
 		request.Program = xxhash.Sum64String(e.program)
 	}
--- a/quota/bucket.go
+++ b/quota/bucket.go
@@ -34,11 +34,11 @@
 	// leaseSlack extends each lease at the home, whose clock may run slightly
 	// faster than that of the holder.
 	leaseSlack = 100 * time.Millisecond
-	// MostPatience bounds the wait of a request for credit, and with it the
+	// MaxCreditWait bounds the wait of a request for credit, and with it the
 	// debt of a bucket: at most the refill of this time is granted before it
 	// arrives. A bucket that starts without a report from the previous home
 	// assumes a debt of this size.
-	MostPatience = 250 * time.Millisecond
+	MaxCreditWait = 250 * time.Millisecond
 	// maxRetryAfter bounds the retry delay given to callers.
 	maxRetryAfter = 5 * time.Second
 )
@@ -65,34 +65,34 @@
 	return limit.Burst + toleranceShare*(tolerance.Overage*allowed+tolerance.Slack)
 }
 
-// Ask is a request by an instance for the credit of one caller request.
-type Ask struct {
-	// Asker is the name of the requesting instance.
-	Asker string
+// CreditRequest is a request by an instance for the credit of one caller request.
+type CreditRequest struct {
+	// Instance is the name of the requesting instance.
+	Instance string
 	// Program is a hash of the program of the caller request, 0 for none. New
 	// is set if, as far as the instance has recorded, the request is the first
 	// of its program. Started programs take precedence over new ones.
 	Program uint64
 	New     bool
-	// Patience is how long the caller request may wait for credit.
-	Patience time.Duration
-	// Left is the credit granted ahead that the instance still holds, or
-	// negative if the request is for no credit ahead. Spare is the credit
+	// MaxWait is how long the caller request may wait for credit.
+	MaxWait time.Duration
+	// Remaining is the credit granted ahead that the instance still holds, or
+	// negative if the request is for no credit ahead. Ahead is the credit
 	// requested ahead, beyond the one for the caller request. Returned is
 	// credit consumed by requests that were then not run.
-	Left, Spare, Returned int
+	Remaining, Ahead, Returned int
 }
 
-// Answer is the response of a home to an Ask.
-type Answer struct {
+// CreditResponse is the response of a home to an CreditRequest.
+type CreditResponse struct {
 	// Granted reports whether the caller request may run once Wait has passed.
 	// If it is false, the caller may retry after Wait.
 	Granted bool
 	Wait    time.Duration
-	// Spare is the credit granted ahead. The instance may use it, and the
+	// Ahead is the credit granted ahead. The instance may use it, and the
 	// credit that it still held, for LeaseTime from the time it sent the
 	// request.
-	Spare int
+	Ahead int
 	// Level is the level of the bucket after the decision. It is negative while
 	// credit is granted that has not been refilled yet.
 	Level float64
@@ -182,7 +182,7 @@
 // home may have granted ahead.
 func (bucket *Bucket) AssumeOutstanding(now time.Time) {
 	bucket.refill(now)
-	bucket.level -= MostPatience.Seconds() * bucket.limit.Rate
+	bucket.level -= MaxCreditWait.Seconds() * bucket.limit.Rate
 	amount := int(math.Ceil((1 - aheadFloorShare) * bucket.depth))
 	bucket.leases[unknownHome] = lease{amount: amount, until: now.Add(LeaseTime + leaseSlack)}
 }
@@ -221,7 +221,7 @@
 }
 
 // Take decides on a request at now, under the newest limit recorded.
-func (bucket *Bucket) Take(request Ask, limit Limit, now time.Time) Answer {
+func (bucket *Bucket) Take(request CreditRequest, limit Limit, now time.Time) CreditResponse {
 	bucket.refill(now)
 	bucket.setLimit(limit)
 	bucket.reconcile(request, now)
@@ -235,8 +235,8 @@
 		floor = startedShare * bucket.depth * bucket.pressure()
 	}
 	missing := floor + 1 - bucket.level
-	response := Answer{Granted: missing <= 0}
-	if wait := bucket.time(missing); !response.Granted && !isNew && wait <= min(request.Patience, MostPatience) {
+	response := CreditResponse{Granted: missing <= 0}
+	if wait := bucket.time(missing); !response.Granted && !isNew && wait <= min(request.MaxWait, MaxCreditWait) {
 		response.Granted, response.Wait = true, wait
 	}
 	if !response.Granted {
@@ -247,12 +247,12 @@
 	}
 	bucket.level--
 	bucket.recordProgram(request.Program, now)
-	if request.Left >= 0 {
-		response.Spare = bucket.grantAhead(request.Spare)
+	if request.Remaining >= 0 {
+		response.Ahead = bucket.grantAhead(request.Ahead)
 	}
-	bucket.level -= float64(response.Spare)
-	if amount := request.Left + response.Spare; amount > 0 && request.Left >= 0 {
-		bucket.leases[request.Asker] = lease{amount: amount, until: now.Add(LeaseTime + leaseSlack)}
+	bucket.level -= float64(response.Ahead)
+	if amount := request.Remaining + response.Ahead; amount > 0 && request.Remaining >= 0 {
+		bucket.leases[request.Instance] = lease{amount: amount, until: now.Add(LeaseTime + leaseSlack)}
 	}
 	response.Level = bucket.level
 	return response
@@ -280,10 +280,10 @@
 }
 
 // reconcile applies the instance's report on the credit granted to it ahead.
-func (bucket *Bucket) reconcile(request Ask, now time.Time) {
-	if lease, ok := bucket.leases[request.Asker]; ok && request.Left >= 0 {
-		lease.amount = min(lease.amount, request.Left)
-		bucket.leases[request.Asker] = lease
+func (bucket *Bucket) reconcile(request CreditRequest, now time.Time) {
+	if lease, ok := bucket.leases[request.Instance]; ok && request.Remaining >= 0 {
+		lease.amount = min(lease.amount, request.Remaining)
+		bucket.leases[request.Instance] = lease
 	}
 	bucket.level += float64(max(request.Returned, 0))
 	bucket.cap()
--- a/quota/bucket_test.go
+++ b/quota/bucket_test.go
@@ -25,7 +25,7 @@
 // drain takes all credit of a bucket at now, and returns its amount.
 func drain(bucket *quota.Bucket, now time.Time) int {
 	for n := 0; ; n++ {
-		if !bucket.Take(quota.Ask{}, limit20, now).Granted {
+		if !bucket.Take(quota.CreditRequest{}, limit20, now).Granted {
 			return n
 		}
 	}
@@ -45,7 +45,7 @@
 	drain(bucket, epoch)
 	var last time.Duration
 	for range 20 {
-		response := bucket.Take(quota.Ask{}, limit20, epoch)
+		response := bucket.Take(quota.CreditRequest{}, limit20, epoch)
 		assert.False(t, response.Granted)
 		assert.Greater(t, response.Wait, last)
 		last = response.Wait
@@ -62,12 +62,12 @@
 	for n := range 2000 {
 		now = now.Add(10 * time.Millisecond)
 		if n%5 == 0 { // 20 per second
-			if response := bucket.Take(quota.Ask{Program: startedProgram, New: true, Patience: 200 * time.Millisecond}, limit20, now); !response.Granted {
+			if response := bucket.Take(quota.CreditRequest{Program: startedProgram, New: true, MaxWait: 200 * time.Millisecond}, limit20, now); !response.Granted {
 				rejectedStarted++
 			}
 		}
 		if n%4 == 0 { // 25 per second
-			if response := bucket.Take(quota.Ask{Program: uint64(100 + n), New: true}, limit20, now); !response.Granted {
+			if response := bucket.Take(quota.CreditRequest{Program: uint64(100 + n), New: true}, limit20, now); !response.Granted {
 				rejectedNew++
 			}
 		}
@@ -81,10 +81,10 @@
 func TestRequestWaitsOnlyForCreditWithinMaxWait(t *testing.T) {
 	bucket := fullBucket(limit20)
 	drain(bucket, epoch)
-	response := bucket.Take(quota.Ask{Program: 1, Patience: 100 * time.Millisecond}, limit20, epoch)
+	response := bucket.Take(quota.CreditRequest{Program: 1, MaxWait: 100 * time.Millisecond}, limit20, epoch)
 	assert.True(t, response.Granted)
 	assert.Equal(t, 50*time.Millisecond, response.Wait)
-	response = bucket.Take(quota.Ask{Program: 1, Patience: 90 * time.Millisecond}, limit20, epoch)
+	response = bucket.Take(quota.CreditRequest{Program: 1, MaxWait: 90 * time.Millisecond}, limit20, epoch)
 	assert.False(t, response.Granted)
 }
 
@@ -99,7 +99,7 @@
 		if n%2 == 1 {
 			limit = quota.Limit{Rate: 1000, Burst: 1000, Version: 1}
 		}
-		if bucket.Take(quota.Ask{}, limit, epoch.Add(time.Duration(n)*10*time.Millisecond)).Granted {
+		if bucket.Take(quota.CreditRequest{}, limit, epoch.Add(time.Duration(n)*10*time.Millisecond)).Granted {
 			granted++
 		}
 	}
@@ -112,7 +112,7 @@
 	bucket := fullBucket(limit20)
 	granted := 0
 	for n := range 10 {
-		granted += bucket.Take(quota.Ask{Asker: fmt.Sprint("i", n), Spare: 100}, limit20, epoch).Spare
+		granted += bucket.Take(quota.CreditRequest{Instance: fmt.Sprint("i", n), Ahead: 100}, limit20, epoch).Ahead
 	}
 	assert.Positive(t, granted)
 	assert.LessOrEqual(t, granted+drain(bucket, epoch.Add(time.Second))-20, 36)
@@ -124,11 +124,11 @@
 func TestCreditGrantedAheadExpires(t *testing.T) {
 	credit := &quota.Credit{}
 	assert.False(t, credit.Use(epoch))
-	ask := credit.Ask("i", quota.Request{})
-	credit.Take(ask, quota.Answer{Granted: true, Spare: 3}, epoch)
+	ask := credit.CreditRequest("i", quota.Request{})
+	credit.Take(ask, quota.CreditResponse{Granted: true, Ahead: 3}, epoch)
 	assert.True(t, credit.Use(epoch.Add(quota.LeaseTime-1)))
 	assert.False(t, credit.Use(epoch.Add(quota.LeaseTime)))
-	assert.Zero(t, credit.Ask("i", quota.Request{}).Left)
+	assert.Zero(t, credit.CreditRequest("i", quota.Request{}).Remaining)
 }
 
 func BenchmarkTake(b *testing.B) {
@@ -136,6 +136,6 @@
 	now := epoch
 	for n := range b.N {
 		now = now.Add(time.Millisecond)
-		bucket.Take(quota.Ask{Asker: "i", Program: uint64(n % 50), Patience: 100 * time.Millisecond}, limit20, now)
+		bucket.Take(quota.CreditRequest{Instance: "i", Program: uint64(n % 50), MaxWait: 100 * time.Millisecond}, limit20, now)
 	}
 }
--- a/quota/credit.go
+++ b/quota/credit.go
@@ -19,8 +19,8 @@
 	// request of the program.
 	Program uint64
 	New     bool
-	// Patience is how long the request may wait for credit.
-	Patience time.Duration
+	// MaxWait is how long the request may wait for credit.
+	MaxWait time.Duration
 }
 
 // Credit is the credit of one organisation's quota that was granted ahead to
@@ -34,7 +34,7 @@
 	// returned is the credit of requests that were not run, to be reported to
 	// the home.
 	returned int
-	// requesting is set while an Ask for credit ahead is in flight. With two in
+	// requesting is set while an CreditRequest for credit ahead is in flight. With two in
 	// flight, the home could not determine the remaining credit.
 	requesting bool
 }
@@ -57,30 +57,30 @@
 	return true
 }
 
-// Ask returns the request to send to the home for a caller request that the
+// CreditRequest returns the request to send to the home for a caller request that the
 // remaining credit does not cover.
-func (credit *Credit) Ask(instance string, request Request) Ask {
-	creditRequest := Ask{Asker: instance, Program: request.Program, New: request.New, Patience: request.Patience, Left: -1, Returned: credit.returned}
+func (credit *Credit) CreditRequest(instance string, request Request) CreditRequest {
+	creditRequest := CreditRequest{Instance: instance, Program: request.Program, New: request.New, MaxWait: request.MaxWait, Remaining: -1, Returned: credit.returned}
 	credit.returned = 0
 	if !credit.requesting {
 		credit.requesting = true
-		creditRequest.Left = credit.remaining
-		creditRequest.Spare = max(min(int(credit.demand*LeaseTime.Seconds()), maxAhead)-credit.remaining, 0)
+		creditRequest.Remaining = credit.remaining
+		creditRequest.Ahead = max(min(int(credit.demand*LeaseTime.Seconds()), maxAhead)-credit.remaining, 0)
 	}
 	return creditRequest
 }
 
-// Take applies the response to an Ask sent at sent. The response is the zero
-// Answer if none was received.
-func (credit *Credit) Take(request Ask, response Answer, sent time.Time) {
-	if request.Left >= 0 {
+// Take applies the response to an CreditRequest sent at sent. The response is the zero
+// CreditResponse if none was received.
+func (credit *Credit) Take(request CreditRequest, response CreditResponse, sent time.Time) {
+	if request.Remaining >= 0 {
 		credit.requesting = false
 	}
-	if !response.Granted || response.Spare == 0 {
+	if !response.Granted || response.Ahead == 0 {
 		return
 	}
 	until := sent.Add(LeaseTime)
-	credit.remaining += response.Spare
+	credit.remaining += response.Ahead
 	if until.After(credit.until) {
 		credit.until = until
 	}
--- a/quota/fleet_test.go
+++ b/quota/fleet_test.go
@@ -193,11 +193,11 @@
 // Self implements quota.Peers.
 func (m *member) Self() string { return m.name }
 
-// Joined implements quota.Peers.
-func (m *member) Joined(name string) time.Time { return m.joined[name] }
+// JoinedAt implements quota.Peers.
+func (m *member) JoinedAt(name string) time.Time { return m.joined[name] }
 
-// Settled implements quota.Peers.
-func (m *member) Settled() time.Duration { return m.fleet.clock.Now().Sub(m.membershipChanged) }
+// StableFor implements quota.Peers.
+func (m *member) StableFor() time.Duration { return m.fleet.clock.Now().Sub(m.membershipChanged) }
 
 // peer returns the instance with the name, or the error of a call to it.
 func (m *member) peer(name string) (*member, error) {
@@ -218,26 +218,26 @@
 	return nil, errUnreachable
 }
 
-// AskCredit implements quota.Peers.
-func (m *member) AskCredit(ctx context.Context, name string, request quota.Question) (quota.Answer, error) {
+// RequestCredit implements quota.Peers.
+func (m *member) RequestCredit(ctx context.Context, name string, request quota.HomeRequest) (quota.CreditResponse, error) {
 	other, err := m.peer(name)
 	if err != nil {
 		if m.fleet.excludesUnreachable || errors.Is(err, quota.ErrNotRunning) {
 			m.unreachableUntil[name] = m.fleet.clock.Now().Add(time.Second)
 		}
-		return quota.Answer{}, err
+		return quota.CreditResponse{}, err
 	}
 	delete(m.unreachableUntil, name)
 	m.fleet.requests[[2]string{m.name, name}]++
-	response, err := other.limiter.Answer(ctx, request)
+	response, err := other.limiter.CreditResponse(ctx, request)
 	if m.fleet.responseLost[[2]string{m.name, name}] || !m.fleet.isReliable && m.fleet.random.IntN(200) == 0 {
-		return quota.Answer{}, errUnreachable // the response is lost
+		return quota.CreditResponse{}, errUnreachable // the response is lost
 	}
 	return response, err
 }
 
-// HandOver implements quota.Peers.
-func (m *member) HandOver(_ context.Context, name string, transfer quota.Transfer) (quota.Transfer, error) {
+// TransferBuckets implements quota.Peers.
+func (m *member) TransferBuckets(_ context.Context, name string, transfer quota.Transfer) (quota.Transfer, error) {
 	m.fleet.mu.Lock()
 	defer m.fleet.mu.Unlock()
 	other, err := m.peer(name)
@@ -272,7 +272,7 @@
 		return
 	}
 	m.applyNews()
-	request := quota.Request{Program: uint64(f.random.IntN(8)), New: f.random.IntN(4) == 0, Patience: time.Duration(f.random.IntN(400)) * time.Millisecond}
+	request := quota.Request{Program: uint64(f.random.IntN(8)), New: f.random.IntN(4) == 0, MaxWait: time.Duration(f.random.IntN(400)) * time.Millisecond}
 	wait, err := m.limiter.Take(context.Background(), organisation, f.limits[organisation], request)
 	if err != nil {
 		f.rejected++
--- a/quota/guard_test.go
+++ b/quota/guard_test.go
@@ -155,7 +155,7 @@
 	require.NoError(t, f.take(order[2]))
 	order[0].crashed = true
 	require.Error(t, f.take(order[2]))
-	assert.Zero(t, f.drainFor(quota.MostPatience-50*time.Millisecond, order[1], order[2]))
+	assert.Zero(t, f.drainFor(quota.MaxCreditWait-50*time.Millisecond, order[1], order[2]))
 }
 
 // Guards against the reuse of a bucket from an earlier time as fallback home,
@@ -181,8 +181,8 @@
 	bucket := fullBucket(limit)
 	now := time.Unix(1_000_000, 0).Add(time.Hour)
 	bucket.Level(now)
-	response := bucket.Take(quota.Ask{Asker: "i", Left: 0, Spare: 100}, limit, now)
-	require.Equal(t, 100, response.Spare)
+	response := bucket.Take(quota.CreditRequest{Instance: "i", Remaining: 0, Ahead: 100}, limit, now)
+	require.Equal(t, 100, response.Ahead)
 	full := tolerance.Depth(limit)
 	assert.InDelta(t, full-100, bucket.Level(now.Add(quota.LeaseTime)), 0.01)
 	assert.InDelta(t, full, bucket.Level(now.Add(3*quota.LeaseTime)), 0.01)
--- a/quota/limiter.go
+++ b/quota/limiter.go
@@ -58,26 +58,26 @@
 	Homes(organisation string, all bool) []string
 	// Self returns the name of this instance.
 	Self() string
-	// Joined returns when an instance last joined or restarted.
-	Joined(instance string) time.Time
-	// Settled returns the time since an instance last joined or left.
-	Settled() time.Duration
-	// AskCredit sends a credit request to an instance as the home of the
-	// organisation. It returns ErrNotHome and ErrStopping as Limiter.Answer of
+	// JoinedAt returns when an instance last joined or restarted.
+	JoinedAt(instance string) time.Time
+	// StableFor returns the time since an instance last joined or left.
+	StableFor() time.Duration
+	// RequestCredit sends a credit request to an instance as the home of the
+	// organisation. It returns ErrNotHome and ErrStopping as Limiter.CreditResponse of
 	// that instance does, and ErrNotRunning if its machine reports that no
 	// process is running.
-	AskCredit(ctx context.Context, instance string, request Question) (Answer, error)
-	// HandOver requests from an instance the buckets of organisations of which
+	RequestCredit(ctx context.Context, instance string, request HomeRequest) (CreditResponse, error)
+	// TransferBuckets requests from an instance the buckets of organisations of which
 	// it is no longer the home, and transfers other buckets to it. It returns
-	// the balances that the instance held, and the errors of AskCredit.
-	HandOver(ctx context.Context, instance string, transfer Transfer) (Transfer, error)
+	// the balances that the instance held, and the errors of RequestCredit.
+	TransferBuckets(ctx context.Context, instance string, transfer Transfer) (Transfer, error)
 }
 
-// Question is an Ask for the credit of an organisation.
-type Question struct {
-	Organisation string
-	Limit        Limit
-	Ask          Ask
+// HomeRequest is an CreditRequest for the credit of an organisation.
+type HomeRequest struct {
+	Organisation  string
+	Limit         Limit
+	CreditRequest CreditRequest
 	// Hops counts how often the request was forwarded by instances that were
 	// not the home.
 	Hops int
@@ -186,12 +186,12 @@
 		limiter.ahead.Inc(1)
 		return 0, nil
 	}
-	homeRequest := Question{Organisation: organisation, Limit: limit, Ask: credit.Ask(limiter.peers.Self(), request)}
+	homeRequest := HomeRequest{Organisation: organisation, Limit: limit, CreditRequest: credit.CreditRequest(limiter.peers.Self(), request)}
 	limiter.mu.Unlock()
 	limiter.requested.Inc(1)
 	response, home, err := limiter.requestCredit(ctx, homeRequest)
 	limiter.mu.Lock()
-	credit.Take(homeRequest.Ask, response, now)
+	credit.Take(homeRequest.CreditRequest, response, now)
 	limiter.mu.Unlock()
 	switch {
 	case err != nil:
@@ -215,10 +215,10 @@
 
 // requestCredit sends the request to the home, and to the next candidates if
 // the home does not respond. It also returns the instance that decided.
-func (limiter *Limiter) requestCredit(ctx context.Context, request Question) (Answer, string, error) {
+func (limiter *Limiter) requestCredit(ctx context.Context, request HomeRequest) (CreditResponse, string, error) {
 	self := limiter.peers.Self()
 	if limiter.checkIsolation() {
-		return Answer{}, self, ErrNotHome
+		return CreditResponse{}, self, ErrNotHome
 	}
 	lastErr := ErrNotHome
 	for attempts := (attempts{}); attempts.next(lastErr); {
@@ -234,7 +234,7 @@
 			}
 			if lastErr = err; errors.Is(err, ErrNotHome) {
 				limiter.confirm(request.Organisation)
-				request.Ask.Returned = 0
+				request.CreditRequest.Returned = 0
 				return limiter.takeLocal(ctx, request), self, nil
 			}
 		case home == self:
@@ -249,9 +249,9 @@
 		if ctx.Err() != nil {
 			break
 		}
-		request.Ask.Returned = 0 // may have been applied, with the response lost
+		request.CreditRequest.Returned = 0 // may have been applied, with the response lost
 	}
-	return Answer{}, "", lastErr
+	return CreditResponse{}, "", lastErr
 }
 
 const (
@@ -297,7 +297,7 @@
 		suspect, suspected := limiter.suspects[name]
 		switch {
 		case limiter.stopped && name == limiter.peers.Self():
-		case suspected && now.Before(suspect.until) && !limiter.peers.Joined(name).After(suspect.since):
+		case suspected && now.Before(suspect.until) && !limiter.peers.JoinedAt(name).After(suspect.since):
 			isFallback = isFallback || home == "" && !suspect.confirmed
 		case home == "":
 			home = name
@@ -310,10 +310,10 @@
 
 // requestCreditFrom sends the request to one instance, and suspects the
 // instance for a while if it does not respond.
-func (limiter *Limiter) requestCreditFrom(ctx context.Context, home string, request Question, timeout time.Duration) (Answer, error) {
+func (limiter *Limiter) requestCreditFrom(ctx context.Context, home string, request HomeRequest, timeout time.Duration) (CreditResponse, error) {
 	limited, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
-	response, err := limiter.peers.AskCredit(limited, home, request)
+	response, err := limiter.peers.RequestCredit(limited, home, request)
 	switch {
 	case errors.Is(err, ErrNotHome):
 		limiter.mu.Lock()
@@ -336,17 +336,17 @@
 	delete(limiter.buckets, organisation)
 }
 
-// Answer decides on a request from another instance if this one is the home of
+// CreditResponse decides on a request from another instance if this one is the home of
 // the organisation, and forwards it to the home otherwise. It returns
 // ErrNotHome if neither is possible, and ErrStopping once Stop has been called.
-func (limiter *Limiter) Answer(ctx context.Context, request Question) (Answer, error) {
+func (limiter *Limiter) CreditResponse(ctx context.Context, request HomeRequest) (CreditResponse, error) {
 	limiter.checkIsolation() // drops outdated buckets
 	limiter.mu.Lock()
 	limiter.recordContact(limiter.clock.Now())
 	isStopped := limiter.stopped
 	limiter.mu.Unlock()
 	if isStopped {
-		return Answer{}, ErrStopping
+		return CreditResponse{}, ErrStopping
 	}
 	self := limiter.peers.Self()
 	var lastErr error
@@ -358,8 +358,8 @@
 			// instance can't reach the home either.
 			limiter.confirm(request.Organisation)
 			return limiter.takeLocal(ctx, request), nil
-		case home == "" || home == request.Ask.Asker || request.Hops >= maxHops:
-			return Answer{}, ErrNotHome
+		case home == "" || home == request.CreditRequest.Instance || request.Hops >= maxHops:
+			return CreditResponse{}, ErrNotHome
 		}
 		limiter.forwarded.Inc(1)
 		relayed := request
@@ -369,13 +369,13 @@
 			return response, err
 		}
 		lastErr = err
-		request.Ask.Returned = 0
+		request.CreditRequest.Returned = 0
 	}
-	return Answer{}, ErrNotHome
+	return CreditResponse{}, ErrNotHome
 }
 
 // takeLocal decides on the request by the bucket held here.
-func (limiter *Limiter) takeLocal(ctx context.Context, request Question) Answer {
+func (limiter *Limiter) takeLocal(ctx context.Context, request HomeRequest) CreditResponse {
 	limiter.mu.Lock()
 	hosted := limiter.hosted(request.Organisation)
 	limiter.mu.Unlock()
@@ -389,7 +389,7 @@
 		hosted.bucket = NewBucket(limiter.tolerance, request.Limit, now)
 		hosted.bucket.AssumeOutstanding(now)
 	}
-	return hosted.bucket.Take(request.Ask, request.Limit, now)
+	return hosted.bucket.Take(request.CreditRequest, request.Limit, now)
 }
 
 // Run sends heartbeats and evicts idle state until ctx ends, then reports on
--- a/quota/limiter_test.go
+++ b/quota/limiter_test.go
@@ -83,13 +83,13 @@
 	f, order := settledFleet(t)
 	require.NoError(t, f.take(order[2]))
 	order[0].crashed = true
-	f.advance(quota.MostPatience + 150*time.Millisecond)
+	f.advance(quota.MaxCreditWait + 150*time.Millisecond)
 	for _, m := range order[1:] {
 		err := f.take(m)
 		var unknown *quota.BalanceUnknownError
 		assert.NotErrorAs(t, err, &unknown, m.name)
 	}
-	f.advance(quota.MostPatience + time.Second)
+	f.advance(quota.MaxCreditWait + time.Second)
 	granted := 0
 	for f.take(order[2]) == nil {
 		granted++
--- a/quota/reachability.go
+++ b/quota/reachability.go
@@ -106,7 +106,7 @@
 	}
 	for _, name := range names {
 		limited, cancel := context.WithTimeout(ctx, transferWait)
-		_, err := limiter.peers.HandOver(limited, name, Transfer{From: limiter.peers.Self()})
+		_, err := limiter.peers.TransferBuckets(limited, name, Transfer{From: limiter.peers.Self()})
 		cancel()
 		if ctx.Err() != nil {
 			return
--- a/quota/transfer.go
+++ b/quota/transfer.go
@@ -37,7 +37,7 @@
 // openBucket creates the bucket with the balance that remained at the previous
 // home. If that home does not report, the bucket starts empty, since the amount
 // that it granted is unknown.
-func (limiter *Limiter) openBucket(ctx context.Context, hosted *hostedBucket, request Question) {
+func (limiter *Limiter) openBucket(ctx context.Context, hosted *hostedBucket, request HomeRequest) {
 	hosted.openMu.Lock()
 	defer hosted.openMu.Unlock()
 	limiter.mu.Lock()
@@ -69,7 +69,7 @@
 // instance, or as the home for which this instance is the fallback. A candidate
 // that runs but responds after the timeout has given up the bucket once it
 // handles the request.
-func (limiter *Limiter) inheritedBalance(ctx context.Context, request Question) (balance *Balance, previous string) {
+func (limiter *Limiter) inheritedBalance(ctx context.Context, request HomeRequest) (balance *Balance, previous string) {
 	self := limiter.peers.Self()
 	all := limiter.peers.Homes(request.Organisation, true)
 	isUnused := len(all) > 0 && all[0] == self
@@ -92,7 +92,7 @@
 	}
 	// The credit accrued since the set of instances last changed can't have
 	// been used by any of them.
-	return &Balance{Level: request.Limit.Rate * min(limiter.peers.Settled(), limiter.activeFor()).Seconds()}, ""
+	return &Balance{Level: request.Limit.Rate * min(limiter.peers.StableFor(), limiter.activeFor()).Seconds()}, ""
 }
 
 // traceBucket requests an organisation's bucket from an instance, and then from
@@ -129,7 +129,7 @@
 	go func() {
 		limited, cancel := context.WithTimeout(context.WithoutCancel(ctx), transferTimeout)
 		defer cancel()
-		response, err := limiter.peers.HandOver(limited, from, Transfer{From: limiter.peers.Self(), Wanted: []string{organisation}})
+		response, err := limiter.peers.TransferBuckets(limited, from, Transfer{From: limiter.peers.Self(), Wanted: []string{organisation}})
 		if err != nil {
 			responded <- nil
 			return
@@ -238,7 +238,7 @@
 		calls.Go(func() {
 			limited, cancel := context.WithTimeout(ctx, requestTimeout)
 			defer cancel()
-			_, err := limiter.peers.HandOver(limited, home, transfer)
+			_, err := limiter.peers.TransferBuckets(limited, home, transfer)
 			limiter.responded(home, err)
 			if !isTerminated(err) {
 				return // it may have been received, and must not be transferred twice
