--- a/account/escrow.go
+++ b/account/escrow.go
@@ -148,7 +148,7 @@
 	manager.escrows.setMaybeAcquired(shards, true)
 	var acquired []int
 	for chunk := range slices.Chunk(shards, maxShardsPerTransaction) {
-		written, err := manager.writeShards(ctx, chunk, escrow, func(current budget.Escrow) bool { return !current.Stands() })
+		written, err := manager.writeShards(ctx, chunk, escrow, func(current budget.Escrow) bool { return !current.Acquired() })
 		if err != nil {
 			return nil, err
 		}
@@ -167,7 +167,7 @@
 	stale := map[string]bool{}
 	for _, index := range shards {
 		escrow, _ := manager.escrows.get(index)
-		if escrow.Stands() && !manager.isLocal(escrow) && !manager.holders.Gone(escrow.Account) {
+		if escrow.Acquired() && !manager.isLocal(escrow) && !manager.holders.Gone(escrow.Account) {
 			stale[shardKeys[index].Partition] = true
 		}
 	}
@@ -204,7 +204,7 @@
 func (manager *Keeper) releaseShards(ctx context.Context, shards []int) error {
 	var failed error
 	for chunk := range slices.Chunk(shards, maxShardsPerTransaction) {
-		released, err := manager.writeShards(ctx, chunk, budget.Escrow{}, func(current budget.Escrow) bool { return !current.Stands() || manager.isLocal(current) })
+		released, err := manager.writeShards(ctx, chunk, budget.Escrow{}, func(current budget.Escrow) bool { return !current.Acquired() || manager.isLocal(current) })
 		if err != nil {
 			failed = err
 		} else {
--- a/account/grant.go
+++ b/account/grant.go
@@ -56,7 +56,7 @@
 	}
 	partial := decision == budget.DecisionWait && !turn.Rest && p.mayBeginPartially()
 	if partial {
-		turn = budget.FirstPart(turn.Most)
+		turn = budget.InitialPart(turn.Most)
 	}
 	if partial || removed || !terminated {
 		decision, err = manager.tryGrant(ctx, p, turn, total)
@@ -237,7 +237,7 @@
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if decision, _ := p.usage.Decide(budget.Whole(turn), total); decision == budget.DecisionServe {
+	if decision, _ := p.usage.Decide(budget.FullTurn(turn), total); decision == budget.DecisionServe {
 		return false
 	}
 	manager.spent.Inc(1)
--- a/account/loan_test.go
+++ b/account/loan_test.go
@@ -193,7 +193,7 @@
 	ctx := context.Background()
 	clk := clock.NewFake(time.Unix(1000, 0))
 	l := newLendingFleet(t, storetest.New(), clk, 1, neverFails)
-	_, err := l.managers[0].Lend(ctx, "p", account.Borrowing{Turn: budget.Whole(567), Total: 1000})
+	_, err := l.managers[0].Lend(ctx, "p", account.Borrowing{Turn: budget.FullTurn(567), Total: 1000})
 	require.NoError(t, err)
 	clk.Advance(time.Minute)
 	_, err = reserveInFull(ctx, l.managers[0], "p", 567, 1000)
@@ -207,7 +207,7 @@
 	ctx := context.Background()
 	l := newLendingFleet(t, storetest.New(), clock.Real{}, 1, neverFails)
 	require.NoError(t, l.managers[0].Stop(ctx))
-	_, err := l.managers[0].Lend(ctx, "p", account.Borrowing{Turn: budget.Whole(567), Total: 1000})
+	_, err := l.managers[0].Lend(ctx, "p", account.Borrowing{Turn: budget.FullTurn(567), Total: 1000})
 	var stopped *account.StoppedError
 	assert.ErrorAs(t, err, &stopped)
 }
@@ -268,7 +268,7 @@
 func TestRepaymentToEarlierIncarnationIsIgnored(t *testing.T) {
 	ctx := context.Background()
 	memory := storetest.New()
-	borrowing := account.Borrowing{Turn: budget.Whole(500), Total: 1000}
+	borrowing := account.Borrowing{Turn: budget.FullTurn(500), Total: 1000}
 	first := newFleet(memory, clock.Real{}, 1).managers[0]
 	old, err := first.Lend(ctx, "p", borrowing)
 	require.NoError(t, err)
@@ -277,7 +277,7 @@
 	_, err = second.Lend(ctx, "q", borrowing)
 	require.NoError(t, err)
 	second.Repaid([]account.Repayment{{Loan: old.ID, Spent: 0}})
-	_, err = second.Lend(ctx, "q", account.Borrowing{Turn: budget.Whole(501), Total: 1000})
+	_, err = second.Lend(ctx, "q", account.Borrowing{Turn: budget.FullTurn(501), Total: 1000})
 	var spent *account.SpentError
 	require.ErrorAs(t, err, &spent)
 }
--- a/account/manager.go
+++ b/account/manager.go
@@ -71,7 +71,7 @@
 func (manager *Keeper) Reserve(ctx context.Context, id string, turn, total int64, segments ...string) (*Reservation, error) {
 	p := manager.program(id, total)
 	defer manager.unpin(p)
-	fullTurn := budget.Whole(turn)
+	fullTurn := budget.FullTurn(turn)
 	if reservation := manager.reserveGranted(p, fullTurn, total, segments); reservation != nil {
 		return reservation, nil
 	}
@@ -129,7 +129,7 @@
 // another turn by a row, and a stream would break off in the middle.
 func (manager *Keeper) reserveFromEscrow(ctx context.Context, p *program, turn budget.Turn, total int64, segments []string) (*Reservation, error) {
 	if err := manager.writeGrant(ctx, p, turn, total); store.Unserved(err) {
-		if reservation := manager.reserveGranted(p, budget.FirstPart(turn.Most), total, segments); reservation != nil {
+		if reservation := manager.reserveGranted(p, budget.InitialPart(turn.Most), total, segments); reservation != nil {
 			return reservation, nil
 		}
 	}
--- a/account/program.go
+++ b/account/program.go
@@ -105,7 +105,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.usage.Version() == 0 {
-		p.usage.Written(ledger, 0)
+		p.usage.SetRow(ledger, 0)
 		p.implied = version
 	}
 }
@@ -130,7 +130,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.usage.Version() == version {
-		p.usage.Disown(name)
+		p.usage.RemoveUnused(name)
 	}
 }
 
@@ -144,7 +144,7 @@
 func (p *program) mayBeginPartially() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.usage.Alone() && p.usage.Used() == 0
+	return p.usage.OthersEscrowed() && p.usage.Used() == 0
 }
 
 // hasEscrow reports whether turns may begin with a partial grant: the
@@ -182,14 +182,14 @@
 func (p *program) adoptWritten(ledger *budget.Ledger, version uint64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.usage.Written(ledger, version)
+	p.usage.SetRow(ledger, version)
 }
 
 // markUnanswered records that the store did not respond to the write of a row.
 func (p *program) markUnanswered() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.usage.Unanswered()
+	p.usage.WriteUnconfirmed()
 }
 
 // releaseUnused returns the row that releases the unused tokens, or nil if
--- a/account/release.go
+++ b/account/release.go
@@ -73,7 +73,7 @@
 	if err != nil {
 		return store.NewError(store.FailureInvalid, "budget", err.Error())
 	}
-	ledger, unused := ledger.Disown(escrow.Account)
+	ledger, unused := ledger.RemoveUnused(escrow.Account)
 	if !unused {
 		return nil
 	}
--- a/account/remainder_test.go
+++ b/account/remainder_test.go
@@ -242,7 +242,7 @@
 	// Other instances hold nearly all tokens and release them on request.
 	_, err = reserveInFull(ctx, b.Keeper, program, 4000, total)
 	require.NoError(t, err)
-	loan, err := home.Lend(ctx, program, account.Borrowing{Turn: budget.Whole(400), Total: total})
+	loan, err := home.Lend(ctx, program, account.Borrowing{Turn: budget.FullTurn(400), Total: total})
 	if err == nil {
 		home.Repaid([]account.Repayment{{Loan: loan.ID, Spent: 100}})
 	}
--- a/account/row.go
+++ b/account/row.go
@@ -55,7 +55,7 @@
 	if manager.isLocal(escrow) && escrow.Account != account {
 		escrow = budget.Escrow{}
 	}
-	return escrow.Implied(total), version
+	return escrow.ImpliedLedger(total), version
 }
 
 // writeRow writes ledger as the program's row. On a conflict it records the
--- a/budget/budget_test.go
+++ b/budget/budget_test.go
@@ -45,25 +45,25 @@
 
 // decide returns the decision on a turn without the row.
 func decide(usage *budget.Usage, turn, total int64) budget.Decision {
-	decision, _ := usage.Decide(budget.Whole(turn), total)
+	decision, _ := usage.Decide(budget.FullTurn(turn), total)
 	return decision
 }
 
 // grantRow returns the row that grants a turn.
 func grantRow(usage *budget.Usage, turn, total int64) *budget.Ledger {
-	_, ledger := usage.Decide(budget.Whole(turn), total)
+	_, ledger := usage.Decide(budget.FullTurn(turn), total)
 	return ledger
 }
 
 // grant makes a turn's grant durable and begins it.
 func grant(t *testing.T, usage *budget.Usage, r *row, turn, total int64) {
 	t.Helper()
-	if decision, ledger := usage.Decide(budget.Whole(turn), total); decision == budget.DecisionGrant {
+	if decision, ledger := usage.Decide(budget.FullTurn(turn), total); decision == budget.DecisionGrant {
 		require.True(t, r.write(t, ledger, usage.Version()))
-		usage.Written(ledger, r.version)
+		usage.SetRow(ledger, r.version)
 	}
 	require.Equal(t, budget.DecisionServe, decide(usage, turn, total))
-	usage.Begin(budget.Whole(turn))
+	usage.Begin(budget.FullTurn(turn))
 }
 
 func TestDecisions(t *testing.T) {
@@ -74,22 +74,22 @@
 	assert.EqualValues(t, 567+(1701-567)/3, a.Granted(), "the turn and a third of the remainder")
 	assert.Equal(t, budget.DecisionGrant, decide(b, turn, total), "b has not read a's grant yet")
 	assert.False(t, r.write(t, grantRow(b, turn, total), b.Version()), "its condition detects the newer version")
-	b.Written(r.read(t), r.version)
+	b.SetRow(r.read(t), r.version)
 	grant(t, b, r, turn, total)
 	c := newUsage(t, "c.1", r)
 	assert.Equal(t, budget.DecisionWait, decide(c, turn, total), "other accounts hold the remaining tokens")
 	assert.Equal(t, []string{"a.1", "b.1"}, c.Holders())
-	a.End(budget.Whole(turn), turn)
-	b.End(budget.Whole(turn), turn)
+	a.End(budget.FullTurn(turn), turn)
+	b.End(budget.FullTurn(turn), turn)
 	for _, usage := range []*budget.Usage{a, b} {
-		usage.Written(r.read(t), r.version)
+		usage.SetRow(r.read(t), r.version)
 		ledger := usage.Release(false)
 		require.NotNil(t, ledger)
 		require.True(t, r.write(t, ledger, usage.Version()))
-		usage.Written(ledger, r.version)
+		usage.SetRow(ledger, r.version)
 		assert.Nil(t, usage.Release(false), "no unused tokens to release")
 	}
-	c.Written(r.read(t), r.version)
+	c.SetRow(r.read(t), r.version)
 	grant(t, c, r, turn, total)
 	assert.Equal(t, budget.DecisionSpent, decide(c, turn, total))
 }
@@ -104,14 +104,14 @@
 	r := &row{}
 	a := newUsage(t, "a.1", r)
 	grant(t, a, r, turn, total) // granted 933
-	a.End(budget.Whole(turn), 0)
+	a.End(budget.FullTurn(turn), 0)
 	delayed, condition := a.Release(false), a.Version()
 	require.NotNil(t, delayed)
-	a.Written(r.read(t), r.version) // the row still shows the old grant
+	a.SetRow(r.read(t), r.version) // the row still shows the old grant
 	assert.Equal(t, budget.DecisionGrant, decide(a, turn, total), "the old grant must not be used")
 	require.True(t, r.write(t, delayed, condition), "the delayed write is applied")
 	assert.False(t, r.write(t, grantRow(a, turn, total), a.Version()))
-	a.Written(r.read(t), r.version)
+	a.SetRow(r.read(t), r.version)
 	assert.Zero(t, a.Granted())
 }
 
@@ -125,18 +125,18 @@
 	r := &row{}
 	usage := newUsage(t, "a.1", r)
 	for range 40 {
-		decision, ledger := usage.Decide(budget.Whole(turn), total)
+		decision, ledger := usage.Decide(budget.FullTurn(turn), total)
 		switch decision {
 		case budget.DecisionGrant:
 			assert.GreaterOrEqual(t, ledger.Accounts["a.1"].Granted, usage.Used()+turn)
 			require.True(t, r.write(t, ledger, usage.Version()))
-			usage.Written(ledger, r.version)
+			usage.SetRow(ledger, r.version)
 			if usage.Used() >= turn {
-				usage.End(budget.Whole(turn), 0)
+				usage.End(budget.FullTurn(turn), 0)
 			}
 		case budget.DecisionServe:
 			assert.Nil(t, ledger)
-			usage.Begin(budget.Whole(turn))
+			usage.Begin(budget.FullTurn(turn))
 		default:
 			assert.Nil(t, ledger)
 		}
@@ -188,9 +188,9 @@
 			r.write(t, ledger, usage.Version())
 		default:
 			if r.write(t, ledger, usage.Version()) {
-				usage.Written(ledger, r.version)
+				usage.SetRow(ledger, r.version)
 			} else {
-				usage.Written(r.read(t), r.version)
+				usage.SetRow(r.read(t), r.version)
 			}
 		}
 	}
@@ -199,11 +199,11 @@
 		switch rng.IntN(9) {
 		case 0, 1, 2:
 			maxTokens := int64(50 + rng.IntN(300))
-			if decision, ledger := usage.Decide(budget.Whole(maxTokens), total); decision == budget.DecisionGrant {
+			if decision, ledger := usage.Decide(budget.FullTurn(maxTokens), total); decision == budget.DecisionGrant {
 				write(usage, ledger)
 			}
 			if decide(usage, maxTokens, total) == budget.DecisionServe {
-				usage.Begin(budget.Whole(maxTokens))
+				usage.Begin(budget.FullTurn(maxTokens))
 				inFlight = append(inFlight, turn{usage, maxTokens})
 			}
 		case 3, 4:
@@ -213,7 +213,7 @@
 				inFlight = append(inFlight[:at], inFlight[at+1:]...)
 				spent := rng.Int64N(2) * done.maxTokens
 				delivered += spent
-				done.usage.End(budget.Whole(done.maxTokens), spent)
+				done.usage.End(budget.FullTurn(done.maxTokens), spent)
 			}
 		case 5:
 			if ledger := usage.Release(false); ledger != nil {
@@ -225,7 +225,7 @@
 				r.write(t, last.ledger, last.version)
 				pending = pending[:len(pending)-1]
 			} else {
-				usage.Written(r.read(t), r.version)
+				usage.SetRow(r.read(t), r.version)
 			}
 		case 8: // the instance crashes: its turns spent their maximum
 			for i := len(inFlight) - 1; i >= 0; i-- {
--- a/budget/escrow.go
+++ b/budget/escrow.go
@@ -62,14 +62,14 @@
 	return data, eris.Wrap(err, "escrow")
 }
 
-// Stands reports whether an instance has acquired the escrow.
-func (escrow Escrow) Stands() bool { return escrow.Account != "" }
+// Acquired reports whether an instance has acquired the escrow.
+func (escrow Escrow) Acquired() bool { return escrow.Account != "" }
 
-// Implied returns the ledger of a program of the shard that has no row and a
+// ImpliedLedger returns the ledger of a program of the shard that has no row and a
 // budget of total tokens.
-func (escrow Escrow) Implied(total int64) *Ledger {
+func (escrow Escrow) ImpliedLedger(total int64) *Ledger {
 	ledger := &Ledger{Accounts: map[string]Account{}}
-	if escrow.Stands() {
+	if escrow.Acquired() {
 		ledger.Accounts[escrow.Account] = Account{Granted: total * escrowPercent / 100, Escrowed: true}
 	}
 	return ledger
--- a/budget/escrow_test.go
+++ b/budget/escrow_test.go
@@ -12,8 +12,8 @@
 
 func TestEscrowImpliesAnAccount(t *testing.T) {
 	escrow := budget.Escrow{Account: "a-1.1", Instance: "a"}
-	assert.Equal(t, map[string]budget.Account{"a-1.1": {Granted: 300, Escrowed: true}}, escrow.Implied(1001).Accounts)
-	assert.Empty(t, budget.Escrow{}.Implied(1001).Accounts)
+	assert.Equal(t, map[string]budget.Account{"a-1.1": {Granted: 300, Escrowed: true}}, escrow.ImpliedLedger(1001).Accounts)
+	assert.Empty(t, budget.Escrow{}.ImpliedLedger(1001).Accounts)
 	for _, one := range []budget.Escrow{escrow, {}} {
 		data, err := one.Encode()
 		require.NoError(t, err)
@@ -24,7 +24,7 @@
 	}
 	none, err := budget.DecodeEscrow(nil)
 	require.NoError(t, err)
-	assert.False(t, none.Stands())
+	assert.False(t, none.Acquired())
 }
 
 // Each shard has a single home in the view of every instance, and an instance
@@ -67,7 +67,7 @@
 		if err != nil {
 			return
 		}
-		_ = escrow.Implied(1000) // must not panic
+		_ = escrow.ImpliedLedger(1000) // must not panic
 		_, err = escrow.Encode()
 		require.NoError(t, err)
 	})
--- a/budget/ledger.go
+++ b/budget/ledger.go
@@ -85,10 +85,10 @@
 	return &Ledger{Accounts: accounts}
 }
 
-// Disown returns a copy of the ledger without the named account, and true, if
+// RemoveUnused returns a copy of the ledger without the named account, and true, if
 // the account is implied by an escrow and unused. Otherwise it returns the
 // ledger itself and false.
-func (ledger *Ledger) Disown(name string) (*Ledger, bool) {
+func (ledger *Ledger) RemoveUnused(name string) (*Ledger, bool) {
 	if !ledger.Accounts[name].unused() {
 		return ledger, false
 	}
--- a/budget/remainder_test.go
+++ b/budget/remainder_test.go
@@ -22,7 +22,7 @@
 		}
 		require.Equal(t, budget.DecisionGrant, decision)
 		require.True(t, r.write(t, ledger, usage.Version()))
-		usage.Written(ledger, r.version)
+		usage.SetRow(ledger, r.version)
 	}
 }
 
@@ -46,13 +46,13 @@
 // the reservation of a stopped one.
 func TestRemainderIsNotTakenFromRunningAccount(t *testing.T) {
 	const most, total = 500, 4000
-	part := budget.FirstPart(most)
+	part := budget.InitialPart(most)
 	r := &row{}
 	running, stopped := newUsage(t, "a.1", r), (*budget.Usage)(nil)
 	serve(t, running, r, part, total)
 	release := running.Release(false) // as requested by another instance
 	require.True(t, r.write(t, release, running.Version()))
-	running.Written(release, r.version)
+	running.SetRow(release, r.version)
 	stopped = newUsage(t, "s.1", r)
 	serve(t, stopped, r, part, total)
 	release = stopped.Release(true) // the instance stops
@@ -62,15 +62,15 @@
 	remainder := int64(most) - part.Part
 	serve(t, successor, r, budget.Turn{Part: remainder, Most: remainder, Rest: true}, total) // the turn of the stopped instance
 	t.Log(r.read(t).Accounts)
-	running.Written(r.read(t), r.version)
+	running.SetRow(r.read(t), r.version)
 	serve(t, running, r, budget.Turn{Part: remainder, Rest: true}, total) // the turn of the running instance
 	running.End(budget.Turn{Part: most, Most: most}, most)
 	successor.End(budget.Turn{Part: remainder, Most: remainder}, remainder)
 	for _, u := range []*budget.Usage{running, successor} {
-		u.Written(r.read(t), r.version)
+		u.SetRow(r.read(t), r.version)
 		if release := u.Release(false); release != nil {
 			require.True(t, r.write(t, release, u.Version()))
-			u.Written(release, r.version)
+			u.SetRow(release, r.version)
 		}
 	}
 	t.Log(r.read(t).Accounts)
@@ -81,17 +81,17 @@
 // covers the remainder without a further grant.
 func TestRemainderCoveredByHeadroomReducesReserve(t *testing.T) {
 	const most, total = 500, 9000
-	part := budget.FirstPart(most)
+	part := budget.InitialPart(most)
 	r := &row{}
 	stopped := newUsage(t, "s.1", r)
 	serve(t, stopped, r, part, total)
 	release := stopped.Release(true)
 	require.True(t, r.write(t, release, stopped.Version()))
 	home := newUsage(t, "t.1", r)
-	serve(t, home, r, budget.Whole(most), total)
+	serve(t, home, r, budget.FullTurn(most), total)
 	remainder := int64(most) - part.Part
 	serve(t, home, r, budget.Turn{Part: remainder, Most: remainder, Rest: true}, total)
-	home.End(budget.Whole(most), most)
+	home.End(budget.FullTurn(most), most)
 	home.End(budget.Turn{Part: remainder, Most: remainder}, remainder)
 	release = home.Release(false)
 	require.True(t, r.write(t, release, home.Version()))
@@ -105,7 +105,7 @@
 	const most, total = 500, 700
 	r := &row{}
 	other := newUsage(t, "o.1", r)
-	serve(t, other, r, budget.Whole(550), total)
+	serve(t, other, r, budget.FullTurn(550), total)
 	require.True(t, r.write(t, other.Release(false), other.Version()), "the other account releases its headroom")
 	usage := newUsage(t, "t.1", r)
 	first := budget.Turn{Part: 150, Most: 150, Rest: true}
@@ -119,7 +119,7 @@
 // retried after another account has granted the remainder.
 func TestRetriedStopDoesNotReserveTwice(t *testing.T) {
 	const most, total = 500, 4000
-	part := budget.FirstPart(most)
+	part := budget.InitialPart(most)
 	r := &row{}
 	stopped := newUsage(t, "s.1", r)
 	serve(t, stopped, r, part, total)
@@ -129,7 +129,7 @@
 	serve(t, successor, r, budget.Turn{Part: remainder, Most: remainder, Rest: true}, total)
 	retried := stopped.Release(true)
 	require.False(t, r.write(t, retried, stopped.Version()))
-	stopped.Written(r.read(t), r.version)
+	stopped.SetRow(r.read(t), r.version)
 	if retried = stopped.Release(true); retried != nil {
 		require.True(t, r.write(t, retried, stopped.Version()))
 	}
@@ -181,11 +181,11 @@
 				usage.Begin(turn)
 				return true
 			case decision != budget.DecisionGrant:
-				usage.Written(r.read(t), r.version)
+				usage.SetRow(r.read(t), r.version)
 			case r.write(t, ledger, usage.Version()):
-				usage.Written(ledger, r.version)
+				usage.SetRow(ledger, r.version)
 			default:
-				usage.Written(r.read(t), r.version)
+				usage.SetRow(r.read(t), r.version)
 			}
 		}
 		return false
@@ -197,7 +197,7 @@
 		switch rng.IntN(7) {
 		case 0, 1:
 			maxTokens := int64(50 + rng.IntN(500))
-			for _, first := range []budget.Turn{budget.Whole(maxTokens), budget.FirstPart(maxTokens)} {
+			for _, first := range []budget.Turn{budget.FullTurn(maxTokens), budget.InitialPart(maxTokens)} {
 				if rng.IntN(2) == 0 && begin(usage, first) {
 					inFlight = append(inFlight, &partialTurn{usage: usage, first: first, maxTokens: maxTokens})
 					break
@@ -252,9 +252,9 @@
 		case 6:
 			if ledger := usage.Release(rng.IntN(2) == 0); ledger != nil {
 				if r.write(t, ledger, usage.Version()) {
-					usage.Written(ledger, r.version)
+					usage.SetRow(ledger, r.version)
 				} else {
-					usage.Written(r.read(t), r.version)
+					usage.SetRow(r.read(t), r.version)
 				}
 			}
 		}
--- a/budget/usage.go
+++ b/budget/usage.go
@@ -18,17 +18,17 @@
 	Taken bool
 }
 
-// Whole returns a turn that requests its maximum at once.
-func Whole(maxTokens int64) Turn { return Turn{Part: maxTokens, Most: maxTokens} }
+// FullTurn returns a turn that requests its maximum at once.
+func FullTurn(maxTokens int64) Turn { return Turn{Part: maxTokens, Most: maxTokens} }
 
 // initialPercent is the percentage of its maximum that a turn is promised when
 // it starts with a partial grant. Turns spend 34 to 36 % on average, and two in
 // three at most 40 %.
 const initialPercent = 40
 
-// FirstPart returns the request for the initial part of a turn of at most
+// InitialPart returns the request for the initial part of a turn of at most
 // maxTokens tokens.
-func FirstPart(maxTokens int64) Turn {
+func InitialPart(maxTokens int64) Turn {
 	return Turn{Part: (maxTokens*initialPercent + 99) / 100, Most: maxTokens}
 }
 
@@ -92,10 +92,10 @@
 	return usage.ledger.Accounts[usage.owner].Escrowed && len(usage.ledger.Accounts) == 1
 }
 
-// Alone reports whether each other account is implied by an escrow. If the
+// OthersEscrowed reports whether each other account is implied by an escrow. If the
 // instance of that escrow is gone for good, the remaining tokens belong to this
 // instance, though they may be less than a turn can generate.
-func (usage *Usage) Alone() bool {
+func (usage *Usage) OthersEscrowed() bool {
 	for name, account := range usage.ledger.Accounts {
 		if name != usage.owner && !account.Escrowed {
 			return false
@@ -106,7 +106,7 @@
 
 // Decide returns the decision on a turn, or on a further part of a turn in
 // flight, under the budget total. For DecisionGrant it also returns the row
-// that grants the part. The caller has to make the row durable, call Written,
+// that grants the part. The caller has to make the row durable, call SetRow,
 // and decide again. Decision and row are made from the same state, since a turn
 // that ends in between changes the required grant. Tokens that a stopped
 // account reserves for the turn are deducted there when this account grants
@@ -154,7 +154,7 @@
 // If last is set, the instance is stopping, and what its turns in flight
 // elsewhere may still request is reserved for other accounts to grant.
 //
-// After Unanswered or Disown, Release returns a row even if the ledger shows
+// After WriteUnconfirmed or RemoveUnused, Release returns a row even if the ledger shows
 // nothing to release. Once that row is written, a preceding row without a
 // response is either visible or void.
 func (usage *Usage) Release(last bool) *Ledger {
@@ -187,9 +187,9 @@
 	return next
 }
 
-// Unanswered records that a row returned by Decide or Release was sent without
+// WriteUnconfirmed records that a row returned by Decide or Release was sent without
 // a response.
-func (usage *Usage) Unanswered() {
+func (usage *Usage) WriteUnconfirmed() {
 	usage.uncertain, usage.uncertainAt = true, usage.version
 }
 
@@ -205,20 +205,20 @@
 	return unused
 }
 
-// Disown removes an account returned by UnusedEscrows from the ledger, and with
+// RemoveUnused removes an account returned by UnusedEscrows from the ledger, and with
 // the next row from the store. Its escrow must not have granted any tokens of
 // the program, and must not grant any later.
-func (usage *Usage) Disown(name string) {
+func (usage *Usage) RemoveUnused(name string) {
 	if name == usage.owner {
 		return
 	}
-	if ledger, ok := usage.ledger.Disown(name); ok {
+	if ledger, ok := usage.ledger.RemoveUnused(name); ok {
 		usage.ledger, usage.uncertain, usage.uncertainAt = ledger, true, usage.version
 	}
 }
 
-// Written records that the stored row is ledger at version.
-func (usage *Usage) Written(ledger *Ledger, version uint64) {
+// SetRow records that the stored row is ledger at version.
+func (usage *Usage) SetRow(ledger *Ledger, version uint64) {
 	if version != usage.uncertainAt {
 		usage.uncertain = false
 	}
--- a/entrypeer/entrypeer_test.go
+++ b/entrypeer/entrypeer_test.go
@@ -211,7 +211,7 @@
 	borrow := func(name, program string) error {
 		ctx, cancel := context.WithTimeout(context.Background(), 50*time.Millisecond)
 		defer cancel()
-		_, err := own.client.Borrow(ctx, name, program, account.Borrowing{Turn: budget.Whole(1), Total: 10, Parts: []string{"p"}})
+		_, err := own.client.Borrow(ctx, name, program, account.Borrowing{Turn: budget.FullTurn(1), Total: 10, Parts: []string{"p"}})
 		return err
 	}
 	require.NoError(t, borrow("living", "p"))
@@ -328,29 +328,29 @@
 		}
 		return program != "" && b.client.Home(program) == ""
 	}, time.Second, 5*time.Millisecond)
-	loan, err := a.client.Borrow(ctx, "b", program, account.Borrowing{Turn: budget.FirstPart(567), Total: 9900, Parts: parts})
+	loan, err := a.client.Borrow(ctx, "b", program, account.Borrowing{Turn: budget.InitialPart(567), Total: 9900, Parts: parts})
 	require.NoError(t, err)
 	assert.Equal(t, []account.Place{{Part: "conversation", Endpoint: "e1", Tokens: 5000}}, loan.Places)
 	require.NoError(t, a.client.Repay(ctx, "b", []account.Repayment{{Loan: loan.ID, Spent: 300}}))
 	assert.Equal(t, int64(300), b.repaidTokens.Load())
 	var spent *account.SpentError
-	_, err = a.client.Borrow(ctx, "b", program, account.Borrowing{Turn: budget.FirstPart(567), Total: 100, Parts: parts})
+	_, err = a.client.Borrow(ctx, "b", program, account.Borrowing{Turn: budget.InitialPart(567), Total: 100, Parts: parts})
 	require.ErrorAs(t, err, &spent)
 	var held *account.HeldError
-	_, err = a.client.Borrow(ctx, "b", "held", account.Borrowing{Turn: budget.FirstPart(567), Total: 9900, Parts: parts})
+	_, err = a.client.Borrow(ctx, "b", "held", account.Borrowing{Turn: budget.InitialPart(567), Total: 9900, Parts: parts})
 	require.ErrorAs(t, err, &held)
 	var lend *entrypeer.BorrowError
-	_, err = a.client.Borrow(ctx, "b", "unknown", account.Borrowing{Turn: budget.FirstPart(567), Total: 9900, Parts: parts})
+	_, err = a.client.Borrow(ctx, "b", "unknown", account.Borrowing{Turn: budget.InitialPart(567), Total: 9900, Parts: parts})
 	require.ErrorAs(t, err, &lend)
-	_, err = a.client.Borrow(ctx, "nobody", program, account.Borrowing{Turn: budget.FirstPart(567), Total: 9900, Parts: parts})
+	_, err = a.client.Borrow(ctx, "nobody", program, account.Borrowing{Turn: budget.InitialPart(567), Total: 9900, Parts: parts})
 	require.ErrorAs(t, err, &lend)
 	assert.Equal(t, "b", a.client.Home(program))
-	_, err = a.client.Borrow(ctx, "b", "stopped", account.Borrowing{Turn: budget.FirstPart(567), Total: 9900, Parts: parts})
+	_, err = a.client.Borrow(ctx, "b", "stopped", account.Borrowing{Turn: budget.InitialPart(567), Total: 9900, Parts: parts})
 	require.ErrorAs(t, err, &lend)
 	require.NoError(t, a.client.Repay(ctx, "b", []account.Repayment{{Loan: loan.ID}}))
 	assert.Empty(t, a.client.Home(program), "the home responds but grants no loans, so all instances pick another")
 	b.server.Close()
-	_, err = a.client.Borrow(ctx, "b", program, account.Borrowing{Turn: budget.FirstPart(567), Total: 9900, Parts: parts})
+	_, err = a.client.Borrow(ctx, "b", program, account.Borrowing{Turn: budget.InitialPart(567), Total: 9900, Parts: parts})
 	require.Error(t, err)
 	assert.Empty(t, a.client.Home(program))
 }
@@ -370,7 +370,7 @@
 	}, time.Second, 5*time.Millisecond)
 	ctx, cancel := context.WithTimeout(context.Background(), 30*time.Millisecond)
 	defer cancel()
-	_, err := a.client.Borrow(ctx, "b", "slow", account.Borrowing{Turn: budget.FirstPart(567), Total: 9900, Parts: []string{"conversation"}})
+	_, err := a.client.Borrow(ctx, "b", "slow", account.Borrowing{Turn: budget.InitialPart(567), Total: 9900, Parts: []string{"conversation"}})
 	require.Error(t, err)
 	assert.Eventually(t, func() bool { return b.repaidLoans.Load() == 1 }, time.Second, 5*time.Millisecond)
 	assert.Zero(t, b.repaidTokens.Load())
@@ -410,7 +410,7 @@
 	}, time.Second, 5*time.Millisecond)
 	for range 5 {
 		ctx, cancel := context.WithTimeout(context.Background(), 20*time.Millisecond)
-		_, err := a.client.Borrow(ctx, "b", "slow", account.Borrowing{Turn: budget.Whole(567), Total: 9900, Parts: []string{"conversation"}})
+		_, err := a.client.Borrow(ctx, "b", "slow", account.Borrowing{Turn: budget.FullTurn(567), Total: 9900, Parts: []string{"conversation"}})
 		cancel()
 		require.Error(t, err)
 	}
