--- a/account/escrow.go
+++ b/account/escrow.go
@@ -62,7 +62,7 @@
 // Acquire returns a function that keeps acquiring the escrows of the shards
 // whose home is this instance, until ctx ends, and then sends nil on done.
 // With an escrow, programs start without a write each.
-func (manager *Keeper) Acquire(members Members) func(context.Context, chan<- error) {
+func (manager *Manager) Acquire(members Members) func(context.Context, chan<- error) {
 	return func(ctx context.Context, done chan<- error) {
 		defer func() { done <- nil }()
 		backoff := retry.Backoff{Initial: initialAcquireBackoff, Max: maxAcquireBackoff}
@@ -101,7 +101,7 @@
 // acquired although some were due, an *UnreleasedBudgetError if a program's
 // row could not be written for a transfer, or the store's *store.Error. After
 // an error programs take a write each.
-func (manager *Keeper) AcquireOnce(ctx context.Context, members Members, early bool) error {
+func (manager *Manager) AcquireOnce(ctx context.Context, members Members, early bool) error {
 	if early {
 		return &NoEscrowError{detail: "the other instances have not been discovered yet"}
 	}
@@ -137,7 +137,7 @@
 // acquireShards writes an escrow of this incarnation to each of shards and
 // returns the shards that now have one. The remaining shards are held by other
 // incarnations.
-func (manager *Keeper) acquireShards(ctx context.Context, self string, shards []int) ([]int, error) {
+func (manager *Manager) acquireShards(ctx context.Context, self string, shards []int) ([]int, error) {
 	manager.mu.Lock()
 	manager.accounts++
 	escrow := budget.Escrow{Account: fmt.Sprintf("%s.%d", manager.owner, manager.accounts), Instance: self}
@@ -163,11 +163,11 @@
 // other incarnations. Shards of an incarnation that is known to have
 // terminated are left out, since it can no longer release them: after a power
 // loss of all instances each would otherwise read all partitions repeatedly.
-func (manager *Keeper) refreshShards(ctx context.Context, shards []int) error {
+func (manager *Manager) refreshShards(ctx context.Context, shards []int) error {
 	stale := map[string]bool{}
 	for _, index := range shards {
 		escrow, _ := manager.escrows.get(index)
-		if escrow.Acquired() && !manager.isLocal(escrow) && !manager.holders.Gone(escrow.Account) {
+		if escrow.Acquired() && !manager.isLocal(escrow) && !manager.holders.OwnerTerminated(escrow.Account) {
 			stale[shardKeys[index].Partition] = true
 		}
 	}
@@ -201,7 +201,7 @@
 // shard is written even if its escrow is not in the store yet, since an
 // unanswered write may still be applied; the release makes the condition of
 // that write fail.
-func (manager *Keeper) releaseShards(ctx context.Context, shards []int) error {
+func (manager *Manager) releaseShards(ctx context.Context, shards []int) error {
 	var failed error
 	for chunk := range slices.Chunk(shards, maxShardsPerTransaction) {
 		released, err := manager.writeShards(ctx, chunk, budget.Escrow{}, func(current budget.Escrow) bool { return !current.Acquired() || manager.isLocal(current) })
@@ -216,14 +216,14 @@
 }
 
 // isLocal reports whether an escrow belongs to this incarnation.
-func (manager *Keeper) isLocal(escrow budget.Escrow) bool {
+func (manager *Manager) isLocal(escrow budget.Escrow) bool {
 	return strings.HasPrefix(escrow.Account, manager.owner+".")
 }
 
 // writeShards writes escrow to those of shards whose current escrow replaces
 // accepts. It returns the shards that were written or already belong to this
 // incarnation. With an error the result may be incomplete.
-func (manager *Keeper) writeShards(ctx context.Context, shards []int, escrow budget.Escrow, replaces func(budget.Escrow) bool) ([]int, error) {
+func (manager *Manager) writeShards(ctx context.Context, shards []int, escrow budget.Escrow, replaces func(budget.Escrow) bool) ([]int, error) {
 	value, err := escrow.Encode()
 	if err != nil {
 		return nil, store.NewError(store.FailureInvalid, "escrows", err.Error())
@@ -267,7 +267,7 @@
 // separately, since a transaction over several partitions is rejected if one
 // of them is unavailable or busy. It returns the shards as writeShards does,
 // and one of the errors.
-func (manager *Keeper) writeShardsByPartition(ctx context.Context, groups [][]int, escrow budget.Escrow, replaces func(budget.Escrow) bool) ([]int, error) {
+func (manager *Manager) writeShardsByPartition(ctx context.Context, groups [][]int, escrow budget.Escrow, replaces func(budget.Escrow) bool) ([]int, error) {
 	type result struct {
 		written []int
 		err     error
@@ -302,7 +302,7 @@
 
 // adoptConflictingShards records the escrows that made a write fail with a
 // conflict. It returns err unchanged if err is not a conflict.
-func (manager *Keeper) adoptConflictingShards(err error) error {
+func (manager *Manager) adoptConflictingShards(err error) error {
 	var failure *store.Error
 	if !errors.As(err, &failure) || failure.Failure() != store.FailureConflict {
 		return err
@@ -311,7 +311,7 @@
 }
 
 // adoptShards records those of rows that hold the escrow of a shard.
-func (manager *Keeper) adoptShards(rows []store.Row) error {
+func (manager *Manager) adoptShards(rows []store.Row) error {
 	for _, row := range rows {
 		index, ok := shardNames[row.Key.Name]
 		if !ok || row.Key != shardKeys[index] {
@@ -325,7 +325,7 @@
 }
 
 // adoptShard records the row of one shard.
-func (manager *Keeper) adoptShard(index int, row store.Row) error {
+func (manager *Manager) adoptShard(index int, row store.Row) error {
 	escrow, err := budget.DecodeEscrow(row.Value)
 	if err != nil {
 		return store.NewError(store.FailureInvalid, "escrows", err.Error())
@@ -335,7 +335,7 @@
 }
 
 // readShard reads and records the row of one shard.
-func (manager *Keeper) readShard(ctx context.Context, index int) error {
+func (manager *Manager) readShard(ctx context.Context, index int) error {
 	row, err := store.Get(ctx, manager.store, shardKeys[index])
 	if err != nil {
 		return err
@@ -348,7 +348,7 @@
 // releases the escrows. It returns an *UnreleasedBudgetError if a program's
 // row could not be written; the escrow of that program's shard stays until it
 // is.
-func (manager *Keeper) transferShards(ctx context.Context, shards []int) error {
+func (manager *Manager) transferShards(ctx context.Context, shards []int) error {
 	if len(shards) == 0 {
 		return nil
 	}
@@ -366,7 +366,7 @@
 
 // programsWithRows returns the hashes of the names of all program rows in the
 // partitions of shards.
-func (manager *Keeper) programsWithRows(ctx context.Context, shards []int) (map[uint64]struct{}, error) {
+func (manager *Manager) programsWithRows(ctx context.Context, shards []int) (map[uint64]struct{}, error) {
 	inPartition := map[string]bool{}
 	for _, index := range shards {
 		inPartition[shardKeys[index].Partition] = true
@@ -386,7 +386,7 @@
 }
 
 // rowNames returns the names of the program rows in a partition.
-func (manager *Keeper) rowNames(ctx context.Context, partition string) ([]string, error) {
+func (manager *Manager) rowNames(ctx context.Context, partition string) ([]string, error) {
 	var names []string
 	r := store.Range{Table: budgetTable, Partition: partition}
 	for {
--- a/account/escrow_test.go
+++ b/account/escrow_test.go
@@ -28,7 +28,7 @@
 // instance is one incarnation of an entry instance. Its peers are the
 // instances that it lists as members; it can reach those that are up.
 type instance struct {
-	*account.Keeper
+	*account.Manager
 	name  string
 	owner string
 	up    bool
@@ -60,7 +60,7 @@
 	cluster.incarnations++
 	m := &instance{name: name, owner: fmt.Sprintf("%s-%d", name, cluster.incarnations), up: true, peers: peers, cluster: cluster, callFails: neverFails}
 	log := slog.New(slog.NewTextHandler(io.Discard, nil))
-	m.Keeper = account.NewKeeper(cluster.store, m.owner, m, m, cluster.clock, log, tally.NoopScope)
+	m.Manager = account.NewManager(cluster.store, m.owner, m, m, cluster.clock, log, tally.NoopScope)
 	cluster.all = append(cluster.all, m)
 	return m
 }
@@ -84,9 +84,9 @@
 	return ""
 }
 
-// Gone reports whether a later incarnation of the account's owner is up, if
+// OwnerTerminated reports whether a later incarnation of the account's owner is up, if
 // cluster.detectsReplacement is set.
-func (m *instance) Gone(account string) bool {
+func (m *instance) OwnerTerminated(account string) bool {
 	if !m.cluster.detectsReplacement {
 		return false
 	}
@@ -99,10 +99,10 @@
 	return false
 }
 
-func (m *instance) GiveBack(ctx context.Context, program string, _ []string) {
+func (m *instance) ReleaseUnused(ctx context.Context, program string, _ []string) {
 	for _, other := range m.cluster.all {
 		if other.up && other != m && !m.callFails() {
-			_ = other.Keeper.GiveBack(ctx, program) // the row shows what was not released
+			_ = other.Manager.ReleaseUnused(ctx, program) // the row shows what was not released
 		}
 	}
 }
@@ -121,7 +121,7 @@
 
 func (m *instance) Repay(_ context.Context, name string, repayments []account.Repayment) error {
 	if home := m.cluster.running(name); home != nil {
-		home.Repaid(repayments)
+		home.SettleLoans(repayments)
 	}
 	return nil
 }
@@ -156,7 +156,7 @@
 	a, b := cluster.start("a", "b"), cluster.start("b", "a")
 	for _, m := range cluster.all {
 		m.acquire(t)
-		go m.Keeper.Repay(ctx, make(chan error, 1))
+		go m.Manager.Repay(ctx, make(chan error, 1))
 	}
 	before := memory.Commits()
 	memory.SetFault(storeRefuses)
@@ -186,21 +186,21 @@
 	a.acquire(t)
 	b.acquire(t)
 	program := programWithHome(0, "a", "a", "b")
-	reservation, err := reserveInFull(ctx, a.Keeper, program, 300, 1000)
+	reservation, err := reserveInFull(ctx, a.Manager, program, 300, 1000)
 	require.NoError(t, err)
 	reservation.Settle(300)
 	a.up = false
-	_, err = reserveInFull(ctx, b.Keeper, program, 701, 1000)
+	_, err = reserveInFull(ctx, b.Manager, program, 701, 1000)
 	var held *account.HeldError
 	require.ErrorAs(t, err, &held, "a third of the budget may be spent")
-	_, err = reserveInFull(ctx, b.Keeper, program, 700, 1000)
+	_, err = reserveInFull(ctx, b.Manager, program, 700, 1000)
 	require.NoError(t, err, "a program with a single turn")
 	restarted := cluster.start("a", "b")
 	var noEscrow *account.NoEscrowError
 	require.ErrorAs(t, restarted.AcquireOnce(ctx, restarted, false), &noEscrow)
-	_, err = reserveInFull(ctx, restarted.Keeper, programWithHome(1, "a", "a", "b"), 700, 1000)
+	_, err = reserveInFull(ctx, restarted.Manager, programWithHome(1, "a", "a", "b"), 700, 1000)
 	require.NoError(t, err, "two thirds remain, granted by a row")
-	_, err = reserveInFull(ctx, restarted.Keeper, programWithHome(2, "a", "a", "b"), 701, 1000)
+	_, err = reserveInFull(ctx, restarted.Manager, programWithHome(2, "a", "a", "b"), 701, 1000)
 	require.ErrorAs(t, err, &held)
 }
 
@@ -217,15 +217,15 @@
 	a.acquire(t)
 	b.acquire(t)
 	program := programWithHome(0, "a", "a", "b")
-	first, err := reserveInFull(ctx, a.Keeper, program, 100, 1000)
+	first, err := reserveInFull(ctx, a.Manager, program, 100, 1000)
 	require.NoError(t, err)
 	first.Settle(100)
 	a.up = false
-	_, err = reserveInFull(ctx, b.Keeper, program, 701, 1000)
+	_, err = reserveInFull(ctx, b.Manager, program, 701, 1000)
 	var held *account.HeldError
 	require.ErrorAs(t, err, &held, "a may only be partitioned")
 	restarted := cluster.start("a", "b")
-	second, err := reserveInFull(ctx, restarted.Keeper, program, 600, 1000)
+	second, err := reserveInFull(ctx, restarted.Manager, program, 600, 1000)
 	require.NoError(t, err)
 	second.Settle(600)
 	var reads atomic.Int64
@@ -236,12 +236,12 @@
 		return storetest.None
 	})
 	for range 10 {
-		_, err = reserveInFull(ctx, b.Keeper, program, 200, 1000)
+		_, err = reserveInFull(ctx, b.Manager, program, 200, 1000)
 		var spent *account.SpentError
 		require.ErrorAs(t, err, &spent)
 	}
 	assert.LessOrEqual(t, reads.Load(), int64(1))
-	_, err = reserveInFull(ctx, b.Keeper, program, 100, 1000)
+	_, err = reserveInFull(ctx, b.Manager, program, 100, 1000)
 	require.NoError(t, err, "the remaining tokens are available")
 }
 
@@ -257,20 +257,20 @@
 	}
 	a, b, c := cluster.running("a"), cluster.running("b"), cluster.running("c")
 	program := programWithHome(0, "a", names...)
-	first, err := reserveInFull(ctx, a.Keeper, program, 100, 1000)
+	first, err := reserveInFull(ctx, a.Manager, program, 100, 1000)
 	require.NoError(t, err)
 	first.Settle(100)
 	a.up = false
 	cluster.start("a", names...)
 	b.callFails = func() bool { return true } // b grants from its local account
-	second, err := reserveInFull(ctx, b.Keeper, program, 400, 1000)
+	second, err := reserveInFull(ctx, b.Manager, program, 400, 1000)
 	require.NoError(t, err)
 	b.callFails = neverFails
-	_, err = reserveInFull(ctx, c.Keeper, program, 400, 1000)
+	_, err = reserveInFull(ctx, c.Manager, program, 400, 1000)
 	var spent *account.SpentError
 	require.ErrorAs(t, err, &spent, "a's 300 are lost and b uses 400")
 	second.Settle(50)
-	third, err := reserveInFull(ctx, c.Keeper, program, 350, 1000)
+	third, err := reserveInFull(ctx, c.Manager, program, 350, 1000)
 	require.NoError(t, err, "b releases what its turn did not use")
 	third.Settle(350)
 }
@@ -287,7 +287,7 @@
 		cluster.start(name, names...).acquire(t)
 	}
 	known := programWithHome(0, "a", names...)
-	reservation, err := reserveInFull(ctx, cluster.running("a").Keeper, known, 300, 1000)
+	reservation, err := reserveInFull(ctx, cluster.running("a").Manager, known, 300, 1000)
 	require.NoError(t, err)
 	reservation.Settle(300)
 	for range 3 {
@@ -300,14 +300,14 @@
 	}
 	before := memory.Commits()
 	memory.SetFault(storeRefuses)
-	_, err = reserveInFull(ctx, cluster.running("a").Keeper, programWithHome(1, "a", names...), 300, 1000)
+	_, err = reserveInFull(ctx, cluster.running("a").Manager, programWithHome(1, "a", names...), 300, 1000)
 	require.NoError(t, err, "the new escrow grants as much again")
-	_, err = reserveInFull(ctx, cluster.running("a").Keeper, known, 300, 1000)
+	_, err = reserveInFull(ctx, cluster.running("a").Manager, known, 300, 1000)
 	require.Error(t, err, "its row cannot be read")
 	memory.SetFault(storeServes)
-	_, err = reserveInFull(ctx, cluster.running("a").Keeper, known, 700, 1000)
+	_, err = reserveInFull(ctx, cluster.running("a").Manager, known, 700, 1000)
 	require.NoError(t, err)
-	_, err = reserveInFull(ctx, cluster.running("a").Keeper, known, 1, 1000)
+	_, err = reserveInFull(ctx, cluster.running("a").Manager, known, 1, 1000)
 	var spent *account.SpentError
 	require.ErrorAs(t, err, &spent)
 	assert.LessOrEqual(t, memory.Commits(), before+2, "only the row of that program")
@@ -324,7 +324,7 @@
 	m := cluster.start("a")
 	m.acquire(t)
 	for n := range 60 {
-		turn, err := reserveInFull(ctx, m.Keeper, fmt.Sprint("p", n), 300, 1000)
+		turn, err := reserveInFull(ctx, m.Manager, fmt.Sprint("p", n), 300, 1000)
 		require.NoError(t, err)
 		turn.Settle(300)
 	}
@@ -340,7 +340,7 @@
 	})
 	var left *account.UnreleasedBudgetError
 	require.ErrorAs(t, m.Stop(ctx), &left)
-	_, err := reserveInFull(ctx, m.Keeper, "another", 500, 1000)
+	_, err := reserveInFull(ctx, m.Manager, "another", 500, 1000)
 	require.Error(t, err, "a stopped instance grants nothing by escrow")
 	m.up = false
 	memory.SetFault(storeServes)
@@ -348,7 +348,7 @@
 	var noEscrow *account.NoEscrowError
 	require.ErrorAs(t, restarted.AcquireOnce(ctx, restarted, false), &noEscrow, "the earlier escrow is still in the store")
 	for n := range 60 {
-		_, err := reserveInFull(ctx, restarted.Keeper, fmt.Sprint("p", n), 701, 1000)
+		_, err := reserveInFull(ctx, restarted.Manager, fmt.Sprint("p", n), 701, 1000)
 		assert.Error(t, err, "program %d", n)
 	}
 }
@@ -363,7 +363,7 @@
 	a := cluster.start("a")
 	a.acquire(t)
 	program := programWithHome(0, "b", "a", "b")
-	turn, err := reserveInFull(ctx, a.Keeper, program, 300, 1000)
+	turn, err := reserveInFull(ctx, a.Manager, program, 300, 1000)
 	require.NoError(t, err)
 	turn.Settle(300)
 	b := cluster.start("b", "a")
@@ -374,13 +374,13 @@
 	a.up = false
 	b.peers = []string{"a", "c"} // a membership change triggers another attempt
 	b.acquire(t)
-	_, err = reserveInFull(ctx, b.Keeper, program, 701, 1000)
+	_, err = reserveInFull(ctx, b.Manager, program, 701, 1000)
 	var spent *account.SpentError
 	require.ErrorAs(t, err, &spent)
-	_, err = reserveInFull(ctx, b.Keeper, program, 700, 1000)
+	_, err = reserveInFull(ctx, b.Manager, program, 700, 1000)
 	require.NoError(t, err)
 	memory.SetFault(storeRefuses)
-	_, err = reserveInFull(ctx, b.Keeper, programWithHome(1, "b", "a", "b", "c"), 300, 1000)
+	_, err = reserveInFull(ctx, b.Manager, programWithHome(1, "b", "a", "b", "c"), 300, 1000)
 	require.NoError(t, err, "new programs start at their new home")
 }
 
@@ -394,7 +394,7 @@
 	a := cluster.start("a")
 	a.acquire(t)
 	for n := range 60 {
-		turn, err := reserveInFull(ctx, a.Keeper, programWithHome(n, "b", "a", "b"), 300, 1000)
+		turn, err := reserveInFull(ctx, a.Manager, programWithHome(n, "b", "a", "b"), 300, 1000)
 		require.NoError(t, err)
 		turn.Settle(300)
 	}
@@ -414,7 +414,7 @@
 	var noEscrow *account.NoEscrowError
 	require.ErrorAs(t, b.AcquireOnce(ctx, b, false), &noEscrow)
 	for n := range 60 {
-		_, err := reserveInFull(ctx, b.Keeper, programWithHome(n, "b", "a", "b"), 701, 1000)
+		_, err := reserveInFull(ctx, b.Manager, programWithHome(n, "b", "a", "b"), 701, 1000)
 		assert.Error(t, err, "program %d", n)
 	}
 }
@@ -452,7 +452,7 @@
 		memory.SetFault(storeRefuses)
 		for n := range 100 {
 			program := fmt.Sprint("p", n)
-			_, err := reserveInFull(context.Background(), cluster.running(budget.Home(program, names)).Keeper, program, 300, 1000)
+			_, err := reserveInFull(context.Background(), cluster.running(budget.Home(program, names)).Manager, program, 300, 1000)
 			assert.NoError(t, err)
 		}
 	}
@@ -508,7 +508,7 @@
 	restarted := cluster.start("a", "b")
 	restarted.acquire(t)
 	memory.SetFault(storeRefuses)
-	_, err := reserveInFull(ctx, restarted.Keeper, program, 300, 1000)
+	_, err := reserveInFull(ctx, restarted.Manager, program, 300, 1000)
 	require.NoError(t, err)
 	memory.SetFault(storeServes)
 	require.NoError(t, restarted.Stop(ctx))
@@ -516,7 +516,7 @@
 	clk.Advance(afterDepartureGrace)
 	b.acquire(t)
 	memory.SetFault(storeRefuses)
-	_, err = reserveInFull(ctx, b.Keeper, programWithHome(1, "a", "a", "b"), 300, 1000)
+	_, err = reserveInFull(ctx, b.Manager, programWithHome(1, "a", "a", "b"), 300, 1000)
 	require.NoError(t, err, "an instance that stays absent has left")
 }
 
@@ -535,19 +535,19 @@
 	}
 	a, b := cluster.running("a"), cluster.running("b")
 	program := programWithHome(0, "a", names...)
-	first, err := reserveInFull(ctx, a.Keeper, program, 60, 960)
+	first, err := reserveInFull(ctx, a.Manager, program, 60, 960)
 	require.NoError(t, err)
 	first.Settle(60)
 	memory.SetFault(storeRefuses) // the turn begins with a partial grant
 	turn, err := b.Reserve(ctx, program, 567, 960)
 	require.NoError(t, err)
-	require.Less(t, turn.Promised(), int64(567))
+	require.Less(t, turn.GrantedTokens(), int64(567))
 	memory.SetFault(storeServes)
 	require.Equal(t, "a", turn.Home())
 	require.NoError(t, a.Stop(ctx))
 	a.up = false
 	require.NoError(t, turn.Extend(ctx))
-	assert.EqualValues(t, 567, turn.Promised())
+	assert.EqualValues(t, 567, turn.GrantedTokens())
 }
 
 // Guards against a stream that breaks off because its program's home stopped
@@ -567,17 +567,17 @@
 	require.NoError(t, a.Stop(ctx))
 	a.up = false
 
-	second, err := reserveInFull(ctx, c.Keeper, program, maxTokens, total)
+	second, err := reserveInFull(ctx, c.Manager, program, maxTokens, total)
 	require.NoError(t, err)
 	var spent *account.SpentError
-	_, err = reserveInFull(ctx, c.Keeper, program, maxTokens, total)
+	_, err = reserveInFull(ctx, c.Manager, program, maxTokens, total)
 	require.ErrorAs(t, err, &spent, "the budget is too small for a third turn beside the two in flight")
 
 	require.NoError(t, turn.Extend(ctx))
-	require.EqualValues(t, maxTokens, turn.Promised())
+	require.EqualValues(t, maxTokens, turn.GrantedTokens())
 	turn.Settle(maxTokens)
 	second.Settle(maxTokens)
-	last, err := reserveInFull(ctx, c.Keeper, program, total-2*maxTokens, total)
+	last, err := reserveInFull(ctx, c.Manager, program, total-2*maxTokens, total)
 	require.NoError(t, err, "the remainder granted to the stream is not counted twice")
 	last.Settle(total - 2*maxTokens)
 }
@@ -593,7 +593,7 @@
 	cluster := &testCluster{store: memory, clock: clock.Real{}}
 	m := cluster.start("a")
 	m.acquire(t)
-	first, err := reserveInFull(ctx, m.Keeper, "p", 600, 1000)
+	first, err := reserveInFull(ctx, m.Manager, "p", 600, 1000)
 	require.NoError(t, err)
 	defer first.Settle(600)
 	var reads atomic.Int64
@@ -633,7 +633,7 @@
 	first, err := cluster.running("b").Reserve(ctx, program, 500, 1000)
 	require.NoError(t, err)
 	require.Equal(t, "a", first.Home())
-	assert.EqualValues(t, 500, first.Promised())
+	assert.EqualValues(t, 500, first.GrantedTokens())
 	_, err = cluster.running("c").Reserve(ctx, program, 600, 1000)
 	var spent *account.SpentError
 	require.ErrorAs(t, err, &spent, "the turn is not begun")
@@ -660,7 +660,7 @@
 	began := time.Now()
 	turn, err := m.Reserve(ctx, "p", 567, 960)
 	require.NoError(t, err)
-	assert.Less(t, turn.Promised(), int64(567))
+	assert.Less(t, turn.GrantedTokens(), int64(567))
 	assert.Less(t, time.Since(began), 300*time.Millisecond, "borrowing instances time out after 400 ms")
 }
 
@@ -703,11 +703,11 @@
 	current.Store = slowStore{Store: memory, delay: 500 * time.Millisecond, writes: writes}
 	turn, err := m.Reserve(ctx, "p", 567, 960)
 	require.NoError(t, err)
-	require.Less(t, turn.Promised(), int64(567))
+	require.Less(t, turn.GrantedTokens(), int64(567))
 	limited, cancel := context.WithTimeout(ctx, 450*time.Millisecond)
 	defer cancel()
 	require.NoError(t, turn.Extend(limited))
-	assert.Equal(t, int64(567), turn.Promised())
+	assert.Equal(t, int64(567), turn.GrantedTokens())
 	assert.EqualValues(t, 1, writes.Load())
 	turn.Settle(567)
 	_, sum := programRow(t, memory, "p")
@@ -747,11 +747,11 @@
 	memory.SetFault(storeServes)
 	require.Equal(t, "a", turn.Home())
 	c.callFails = func() bool { return true }
-	_, err = reserveInFull(ctx, c.Keeper, program, 600, 1000)
+	_, err = reserveInFull(ctx, c.Manager, program, 600, 1000)
 	require.NoError(t, err)
 	_ = turn.Extend(ctx) // a part of the remainder is available
-	assert.Less(t, turn.Promised(), int64(500))
-	assert.False(t, b.KnownSpent(program, 100, 1000))
+	assert.Less(t, turn.GrantedTokens(), int64(500))
+	assert.False(t, b.RecentlySpent(program, 100, 1000))
 }
 
 // Guards against concurrent starts that leave most instances without an
@@ -775,7 +775,7 @@
 	}
 	memory.SetFault(storeRefuses)
 	for n, name := range names {
-		_, err := reserveInFull(context.Background(), cluster.running(name).Keeper, programWithHome(n, name, names...), 300, 1000)
+		_, err := reserveInFull(context.Background(), cluster.running(name).Manager, programWithHome(n, name, names...), 300, 1000)
 		assert.NoError(t, err, name)
 	}
 	var noEscrow *account.NoEscrowError
@@ -859,7 +859,7 @@
 		case draw < 12:
 			if len(inFlight) > 0 {
 				i := rng.IntN(len(inFlight))
-				spent := rng.Int64N(inFlight[i].turn.Promised() + 1)
+				spent := rng.Int64N(inFlight[i].turn.GrantedTokens() + 1)
 				inFlight[i].turn.Settle(spent)
 				finish(i, spent)
 			}
@@ -876,7 +876,7 @@
 				m.up = false
 				for i := len(inFlight) - 1; i >= 0; i-- {
 					if inFlight[i].instance == m {
-						finish(i, rng.Int64N(inFlight[i].turn.Promised()+1))
+						finish(i, rng.Int64N(inFlight[i].turn.GrantedTokens()+1))
 					}
 				}
 			}
@@ -884,7 +884,7 @@
 			if m != nil {
 				for i := len(inFlight) - 1; i >= 0; i-- {
 					if inFlight[i].instance == m {
-						spent := inFlight[i].turn.Promised()
+						spent := inFlight[i].turn.GrantedTokens()
 						inFlight[i].turn.Settle(spent)
 						finish(i, spent)
 					}
@@ -908,7 +908,7 @@
 		}
 		promised := generated
 		for _, f := range inFlight {
-			promised[f.program] += f.turn.Promised()
+			promised[f.program] += f.turn.GrantedTokens()
 		}
 		for i := range promised {
 			require.LessOrEqual(t, promised[i], totals[i], "seed %d, step %d, program %d", seed, step, i)
--- a/account/grant.go
+++ b/account/grant.go
@@ -38,7 +38,7 @@
 // unused tokens and tries again. It does not hold the row lock during these
 // requests: two instances that request a release from each other would
 // otherwise each wait for the other's lock.
-func (manager *Keeper) grant(ctx context.Context, p *program, turn budget.Turn, total int64) (budget.Turn, error) {
+func (manager *Manager) grant(ctx context.Context, p *program, turn budget.Turn, total int64) (budget.Turn, error) {
 	decision, err := manager.tryGrant(ctx, p, turn, total)
 	if err != nil || decision == budget.DecisionServe {
 		return turn, err
@@ -77,7 +77,7 @@
 // they were implied, and reports whether there were any. An owner writes the
 // rows of all programs that its escrow granted tokens before it releases the
 // escrow, so an account that is unused in the row granted nothing.
-func (manager *Keeper) removeReleasedEscrows(ctx context.Context, p *program) (bool, error) {
+func (manager *Manager) removeReleasedEscrows(ctx context.Context, p *program) (bool, error) {
 	unused, version := p.unusedEscrows(manager.clock.Now())
 	if len(unused) == 0 {
 		return false, nil
@@ -102,7 +102,7 @@
 // continues after that, so that the row usually grants the remainder by the
 // time a turn that began with a partial grant needs it. It returns the store's
 // *store.Error.
-func (manager *Keeper) writeGrant(ctx context.Context, p *program, turn budget.Turn, total int64) error {
+func (manager *Manager) writeGrant(ctx context.Context, p *program, turn budget.Turn, total int64) error {
 	waitCtx, cancel := context.WithTimeout(ctx, rowWaitTimeout)
 	defer cancel()
 	if err := p.lockRow(waitCtx); err != nil {
@@ -134,21 +134,21 @@
 
 // isLost reports whether p's budget is too small for the turn because
 // terminated incarnations hold some of it, which nobody can release any more.
-func (manager *Keeper) isLost(p *program, turn budget.Turn, total int64) bool {
+func (manager *Manager) isLost(p *program, turn budget.Turn, total int64) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return !p.usage.Fits(turn, total, manager.holders.Gone)
+	return !p.usage.Fits(turn, total, manager.holders.OwnerTerminated)
 }
 
 // allHoldersTerminated reports whether other incarnations hold tokens of p's
 // budget and all of these have terminated for good, so that no tokens will be
 // released.
-func (manager *Keeper) allHoldersTerminated(p *program) bool {
+func (manager *Manager) allHoldersTerminated(p *program) bool {
 	p.mu.Lock()
 	accounts := p.usage.Holders()
 	p.mu.Unlock()
 	for _, account := range accounts {
-		if !manager.holders.Gone(account) {
+		if !manager.holders.OwnerTerminated(account) {
 			return false
 		}
 	}
@@ -158,7 +158,7 @@
 // tryGrant begins the turn and returns DecisionServe if the row grants the
 // turn or can be changed to. Otherwise it returns the decision that follows
 // from the row as just read.
-func (manager *Keeper) tryGrant(ctx context.Context, p *program, turn budget.Turn, total int64) (budget.Decision, error) {
+func (manager *Manager) tryGrant(ctx context.Context, p *program, turn budget.Turn, total int64) (budget.Decision, error) {
 	if err := p.lockRow(ctx); err != nil {
 		return 0, err
 	}
@@ -212,7 +212,7 @@
 
 // requestRelease requests the other instances that hold tokens of p's budget
 // to release those that they do not use.
-func (manager *Keeper) requestRelease(ctx context.Context, p *program) {
+func (manager *Manager) requestRelease(ctx context.Context, p *program) {
 	p.mu.Lock()
 	accounts := p.usage.Holders()
 	p.mu.Unlock()
@@ -221,14 +221,14 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, releaseRequestTimeout)
 	defer cancel()
-	manager.holders.GiveBack(ctx, p.id, accounts)
+	manager.holders.ReleaseUnused(ctx, p.id, accounts)
 }
 
-// KnownSpent reports whether Reserve would return a *SpentError without a
+// RecentlySpent reports whether Reserve would return a *SpentError without a
 // check: the program's budget was found spent within spentCacheTTL for a turn
 // of at most this size, and the local account does not grant the turn either.
 // A turn for which it returns true is counted as refused.
-func (manager *Keeper) KnownSpent(id string, turn, total int64) bool {
+func (manager *Manager) RecentlySpent(id string, turn, total int64) bool {
 	manager.mu.Lock()
 	p := manager.programs[id]
 	manager.mu.Unlock()
@@ -246,14 +246,14 @@
 
 // foundSpentRecently reports whether the budget was found spent within
 // spentCacheTTL for a turn of at most this size.
-func (manager *Keeper) foundSpentRecently(p *program, turn int64) bool {
+func (manager *Manager) foundSpentRecently(p *program, turn int64) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return turn >= p.spentTokens && manager.clock.Now().Sub(p.spentAt) < spentCacheTTL
 }
 
 // rejection returns the error for a turn that is not granted, and counts it.
-func (manager *Keeper) rejection(p *program, decision budget.Decision, turn budget.Turn, total int64) error {
+func (manager *Manager) rejection(p *program, decision budget.Decision, turn budget.Turn, total int64) error {
 	if decision == budget.DecisionSpent {
 		manager.countSpent(p, turn)
 		return &SpentError{program: p.id, used: p.used(), total: total}
@@ -265,7 +265,7 @@
 // countSpent counts a turn that the budget is too small for and records it for
 // spentCacheTTL. The remainder of a turn is not recorded, since its refusal
 // does not imply that of the next turn.
-func (manager *Keeper) countSpent(p *program, turn budget.Turn) {
+func (manager *Manager) countSpent(p *program, turn budget.Turn) {
 	manager.spent.Inc(1)
 	if !turn.Rest {
 		p.recordSpent(manager.clock.Now(), turn.Most)
--- a/account/loan.go
+++ b/account/loan.go
@@ -45,10 +45,10 @@
 type Loan struct {
 	// ID identifies the loan at its home.
 	ID uint64
-	// Promised is the number of tokens granted, which may be fewer than the
+	// GrantedTokens is the number of tokens granted, which may be fewer than the
 	// turn's maximum.
 	Promised int64
-	// Places are the known cache locations of the requested segments of the
+	// CacheLocations are the known cache locations of the requested segments of the
 	// turn's prompt.
 	Places []Place
 }
@@ -114,7 +114,7 @@
 // home returns the home instance of a program, or "" if that is this instance.
 // An instance that holds the escrow of the program's shard stays its home even
 // if newer instances have joined.
-func (manager *Keeper) home(id string) string {
+func (manager *Manager) home(id string) string {
 	if manager.escrows.usableFor(id) {
 		return ""
 	}
@@ -123,7 +123,7 @@
 
 // borrow reserves tokens by a loan of the program's home. It returns nil and
 // no error if this instance has to grant the tokens from its local account.
-func (manager *Keeper) borrow(ctx context.Context, p *program, borrowing Borrowing) (*Reservation, error) {
+func (manager *Manager) borrow(ctx context.Context, p *program, borrowing Borrowing) (*Reservation, error) {
 	home := manager.home(p.id)
 	if home == "" {
 		return nil, nil
@@ -153,11 +153,11 @@
 }
 
 // Lend reserves tokens of a program's budget for another instance, as Reserve
-// does for this one, until Repaid is called for the loan or loanLifetime has
+// does for this one, until SettleLoans is called for the loan or loanLifetime has
 // passed, after which the tokens count as spent. It returns a *StoppedError
 // while the instance stops, since tokens that it released must not be granted
 // again, and otherwise the errors of Reserve.
-func (manager *Keeper) Lend(ctx context.Context, id string, borrowing Borrowing) (Loan, error) {
+func (manager *Manager) Lend(ctx context.Context, id string, borrowing Borrowing) (Loan, error) {
 	if manager.loans.isStopped() {
 		return Loan{}, &StoppedError{}
 	}
@@ -177,7 +177,7 @@
 		// Stop released all unused tokens while this request waited, so this
 		// grant has to be released as well.
 		reservation.Settle(0)
-		if err := manager.GiveBack(ctx, id); err != nil {
+		if err := manager.ReleaseUnused(ctx, id); err != nil {
 			manager.log.Warn("tokens granted while stopping not released: they count as spent", "program", id, "err", err)
 		}
 		return Loan{}, &StoppedError{}
@@ -193,12 +193,12 @@
 // Error returns a fixed message.
 func (e *StoppedError) Error() string { return "the instance is stopping" }
 
-// Repaid settles loans granted here. It ignores unknown loans, which were
+// SettleLoans settles loans granted here. It ignores unknown loans, which were
 // settled before.
-func (manager *Keeper) Repaid(repayments []Repayment) {
+func (manager *Manager) SettleLoans(repayments []Repayment) {
 	for _, repayment := range repayments {
 		if reservation := manager.loans.remove(repayment.Loan); reservation != nil {
-			reservation.KeptAt(repayment.Place)
+			reservation.SetCacheLocation(repayment.Place)
 			reservation.Settle(max(repayment.Spent, 0))
 		}
 	}
@@ -206,7 +206,7 @@
 
 // settleExpiredLoans settles the loans that were not repaid within
 // loanLifetime as fully spent.
-func (manager *Keeper) settleExpiredLoans() {
+func (manager *Manager) settleExpiredLoans() {
 	for _, reservation := range manager.loans.expired(manager.clock.Now()) {
 		manager.log.Info("loan expired without repayment: counted as spent", "program", reservation.program.id, "tokens", reservation.turn.Part)
 		reservation.Settle(reservation.turn.Part)
@@ -215,7 +215,7 @@
 
 // Repay sends repayments to the homes of programs until ctx ends. It then
 // sends those that are still pending, and nil on done.
-func (manager *Keeper) Repay(ctx context.Context, done chan<- error) {
+func (manager *Manager) Repay(ctx context.Context, done chan<- error) {
 	for {
 		select {
 		case <-ctx.Done():
@@ -231,7 +231,7 @@
 }
 
 // sendRepayments sends the pending repayments to all homes concurrently.
-func (manager *Keeper) sendRepayments(ctx context.Context) {
+func (manager *Manager) sendRepayments(ctx context.Context) {
 	var calls sync.WaitGroup
 	for home, repayments := range manager.loans.takePending() {
 		calls.Go(func() {
--- a/account/loan_test.go
+++ b/account/loan_test.go
@@ -62,7 +62,7 @@
 	if l.unreachable.Load() || l.lose() {
 		return errLost
 	}
-	l.managers[0].Repaid(repayments)
+	l.managers[0].SettleLoans(repayments)
 	l.repaid.Add(int64(len(repayments)))
 	return nil
 }
@@ -76,7 +76,7 @@
 	done := make(chan error, instances)
 	for i := range instances {
 		name := "i" + strconv.Itoa(i)
-		manager := account.NewKeeper(s, name, &l.fleet, fleetClient{lendingFleet: l, self: name}, clk, slog.New(slog.NewTextHandler(io.Discard, nil)), tally.NoopScope)
+		manager := account.NewManager(s, name, &l.fleet, fleetClient{lendingFleet: l, self: name}, clk, slog.New(slog.NewTextHandler(io.Discard, nil)), tally.NoopScope)
 		l.managers = append(l.managers, manager)
 		go manager.Repay(ctx, done)
 	}
@@ -128,12 +128,12 @@
 		reservation, err := reserveInFull(ctx, l.managers[instance], "p", 100, 9900, "conversation", "helper")
 		require.NoError(t, err)
 		before := l.repaid.Load()
-		reservation.KeptAt(account.Place{Part: "conversation", Endpoint: endpoint, Tokens: 5000})
+		reservation.SetCacheLocation(account.Place{Part: "conversation", Endpoint: endpoint, Tokens: 5000})
 		reservation.Settle(50)
 		if reservation.Home() != "" {
 			require.Eventually(t, func() bool { return l.repaid.Load() > before }, time.Second, time.Millisecond)
 		}
-		return reservation.Places()
+		return reservation.CacheLocations()
 	}
 	assert.Empty(t, turn(1, "e1"))
 	assert.Equal(t, []account.Place{{Part: "conversation", Endpoint: "e1", Tokens: 5000}}, turn(2, "e2"))
@@ -152,7 +152,7 @@
 	_, err = l.managers[2].Reserve(ctx, "p", 567, 1000)
 	var spent *account.SpentError
 	require.ErrorAs(t, err, &spent)
-	assert.True(t, l.managers[2].KnownSpent("p", 567, 1000))
+	assert.True(t, l.managers[2].RecentlySpent("p", 567, 1000))
 	first.Settle(100)
 	assert.Eventually(t, func() bool { return l.repaid.Load() == 1 }, time.Second, time.Millisecond)
 	_, err = reserveInFull(ctx, l.managers[1], "p", 567, 1000)
@@ -273,10 +273,10 @@
 	old, err := first.Lend(ctx, "p", borrowing)
 	require.NoError(t, err)
 	log := slog.New(slog.NewTextHandler(io.Discard, nil))
-	second := account.NewKeeper(memory, "restarted", &fleet{}, noLenders{}, clock.Real{}, log, tally.NoopScope)
+	second := account.NewManager(memory, "restarted", &fleet{}, noLenders{}, clock.Real{}, log, tally.NoopScope)
 	_, err = second.Lend(ctx, "q", borrowing)
 	require.NoError(t, err)
-	second.Repaid([]account.Repayment{{Loan: old.ID, Spent: 0}})
+	second.SettleLoans([]account.Repayment{{Loan: old.ID, Spent: 0}})
 	_, err = second.Lend(ctx, "q", account.Borrowing{Turn: budget.FullTurn(501), Total: 1000})
 	var spent *account.SpentError
 	require.ErrorAs(t, err, &spent)
--- a/account/manager.go
+++ b/account/manager.go
@@ -20,25 +20,25 @@
 // second before they began during a store outage.
 const rowWaitTimeout = 150 * time.Millisecond
 
-// Holders reaches the instances that own accounts of programs.
-type Holders interface {
-	// GiveBack requests the owners of the named accounts of a program to
+// Owners reaches the instances that own accounts of programs.
+type Owners interface {
+	// ReleaseUnused requests the owners of the named accounts of a program to
 	// release the tokens they do not use. It returns once each has done so or
 	// cannot be reached.
-	GiveBack(ctx context.Context, program string, accounts []string)
-	// Gone reports whether the incarnation that owns an account is known to
+	ReleaseUnused(ctx context.Context, program string, accounts []string)
+	// OwnerTerminated reports whether the incarnation that owns an account is known to
 	// have terminated for good.
-	Gone(account string) bool
+	OwnerTerminated(account string) bool
 }
 
-// Keeper manages the budgets of the programs whose turns come through this
+// Manager manages the budgets of the programs whose turns come through this
 // instance. It is safe for concurrent use.
-type Keeper struct {
+type Manager struct {
 	store store.Store
 	// owner is the unique name of this incarnation and the prefix of the names
 	// of its accounts.
 	owner   string
-	holders Holders
+	holders Owners
 	lenders Lenders
 	loans   *loans
 	escrows escrows
@@ -52,10 +52,10 @@
 	accounts uint64              // number of the last account named
 }
 
-// NewKeeper returns a Keeper over s. The owner must be unique among all
+// NewManager returns a Manager over s. The owner must be unique among all
 // incarnations of all instances; accounts are named OWNER.NUMBER.
-func NewKeeper(s store.Store, owner string, holders Holders, lenders Lenders, clk clock.Clock, log *slog.Logger, scope tally.Scope) *Keeper {
-	return &Keeper{store: s, owner: owner, holders: holders, lenders: lenders, loans: newLoans(), clock: clk, log: log, programs: map[string]*program{},
+func NewManager(s store.Store, owner string, holders Owners, lenders Lenders, clk clock.Clock, log *slog.Logger, scope tally.Scope) *Manager {
+	return &Manager{store: s, owner: owner, holders: holders, lenders: lenders, loans: newLoans(), clock: clk, log: log, programs: map[string]*program{},
 		borrowed: scope.Counter("budget_borrowed"), lent: scope.Counter("budget_lent"),
 		granted: scope.Counter("budget_grants"), spent: scope.Counter("budget_spent"), held: scope.Counter("budget_held"),
 		released: scope.Counter("budget_releases"), failed: scope.Counter("budget_write_failures")}
@@ -68,7 +68,7 @@
 // locations are requested. Reserve returns a *SpentError if the budget is too
 // small for the turn, a *HeldError if other instances may still release enough
 // of it, or the store's *store.Error. After an error nothing is reserved.
-func (manager *Keeper) Reserve(ctx context.Context, id string, turn, total int64, segments ...string) (*Reservation, error) {
+func (manager *Manager) Reserve(ctx context.Context, id string, turn, total int64, segments ...string) (*Reservation, error) {
 	p := manager.program(id, total)
 	defer manager.unpin(p)
 	fullTurn := budget.FullTurn(turn)
@@ -88,7 +88,7 @@
 
 // reserveGranted reserves the turn if the local account already grants it,
 // without a write. It returns nil otherwise.
-func (manager *Keeper) reserveGranted(p *program, turn budget.Turn, total int64, segments []string) *Reservation {
+func (manager *Manager) reserveGranted(p *program, turn budget.Turn, total int64, segments []string) *Reservation {
 	if decision, _ := p.begin(turn, total); decision != budget.DecisionServe {
 		return nil
 	}
@@ -97,14 +97,14 @@
 
 // reservation returns the Reservation of a turn that has begun on the local
 // account.
-func (manager *Keeper) reservation(p *program, turn budget.Turn, total int64, segments []string) *Reservation {
+func (manager *Manager) reservation(p *program, turn budget.Turn, total int64, segments []string) *Reservation {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return &Reservation{manager: manager, program: p, turn: turn, total: total, Version: p.usage.Version(), locations: p.locations.forSegments(segments)}
 }
 
 // reserveLocally reserves the turn on the local account, without a loan.
-func (manager *Keeper) reserveLocally(ctx context.Context, p *program, turn budget.Turn, total int64, segments []string) (*Reservation, error) {
+func (manager *Manager) reserveLocally(ctx context.Context, p *program, turn budget.Turn, total int64, segments []string) (*Reservation, error) {
 	if reservation := manager.reserveGranted(p, turn, total, segments); reservation != nil {
 		return reservation, nil
 	}
@@ -127,7 +127,7 @@
 // A turn is granted in full as long as the store responds. With a partial
 // grant, an instance that cannot reach this one could grant the remainder to
 // another turn by a row, and a stream would break off in the middle.
-func (manager *Keeper) reserveFromEscrow(ctx context.Context, p *program, turn budget.Turn, total int64, segments []string) (*Reservation, error) {
+func (manager *Manager) reserveFromEscrow(ctx context.Context, p *program, turn budget.Turn, total int64, segments []string) (*Reservation, error) {
 	if err := manager.writeGrant(ctx, p, turn, total); store.Unserved(err) {
 		if reservation := manager.reserveGranted(p, budget.InitialPart(turn.Most), total, segments); reservation != nil {
 			return reservation, nil
@@ -142,7 +142,7 @@
 
 // program returns the state of a program, which it creates if there is none,
 // and pins it until unpin.
-func (manager *Keeper) program(id string, total int64) *program {
+func (manager *Manager) program(id string, total int64) *program {
 	manager.mu.Lock()
 	defer manager.mu.Unlock()
 	p, ok := manager.programs[id]
@@ -164,14 +164,14 @@
 }
 
 // unpin ends one use of a program's state, so that Sweep may evict it.
-func (manager *Keeper) unpin(p *program) {
+func (manager *Manager) unpin(p *program) {
 	manager.mu.Lock()
 	defer manager.mu.Unlock()
 	p.pins--
 }
 
 // Len returns the number of programs with state in memory.
-func (manager *Keeper) Len() int {
+func (manager *Manager) Len() int {
 	manager.mu.Lock()
 	defer manager.mu.Unlock()
 	return len(manager.programs)
--- a/account/manager_test.go
+++ b/account/manager_test.go
@@ -22,20 +22,20 @@
 )
 
 // fleet holds the managers of several instances over one store. It implements
-// account.Holders for all of them.
+// account.Owners for all of them.
 type fleet struct {
-	managers    []*account.Keeper
+	managers    []*account.Manager
 	unreachable atomic.Bool
 }
 
-func (f *fleet) Gone(string) bool { return false }
+func (f *fleet) OwnerTerminated(string) bool { return false }
 
-func (f *fleet) GiveBack(ctx context.Context, program string, _ []string) {
+func (f *fleet) ReleaseUnused(ctx context.Context, program string, _ []string) {
 	if f.unreachable.Load() {
 		return
 	}
 	for _, manager := range f.managers {
-		_ = manager.GiveBack(ctx, program) // the row shows what was not released
+		_ = manager.ReleaseUnused(ctx, program) // the row shows what was not released
 	}
 }
 
@@ -54,13 +54,13 @@
 func newFleet(s store.Store, clk clock.Clock, instances int) *fleet {
 	f := &fleet{}
 	for i := range instances {
-		f.managers = append(f.managers, account.NewKeeper(s, fmt.Sprintf("i%d", i), f, noLenders{}, clk, slog.New(slog.NewTextHandler(io.Discard, nil)), tally.NoopScope))
+		f.managers = append(f.managers, account.NewManager(s, fmt.Sprintf("i%d", i), f, noLenders{}, clk, slog.New(slog.NewTextHandler(io.Discard, nil)), tally.NoopScope))
 	}
 	return f
 }
 
 // reserveInFull reserves all tokens that a turn may generate.
-func reserveInFull(ctx context.Context, manager *account.Keeper, program string, turn, total int64, parts ...string) (*account.Reservation, error) {
+func reserveInFull(ctx context.Context, manager *account.Manager, program string, turn, total int64, parts ...string) (*account.Reservation, error) {
 	reservation, err := manager.Reserve(ctx, program, turn, total, parts...)
 	if err != nil {
 		return nil, err
@@ -69,7 +69,7 @@
 		reservation.Settle(0)
 		return nil, err
 	}
-	if reservation.Promised() < turn {
+	if reservation.GrantedTokens() < turn {
 		reservation.Settle(0)
 		return nil, account.NewHeldError(program, "")
 	}
@@ -118,7 +118,7 @@
 		turn.Settle(500)
 	}
 	second := &fleet{}
-	second.managers = append(second.managers, account.NewKeeper(memory, "restarted", second, noLenders{}, clk, slog.New(slog.NewTextHandler(io.Discard, nil)), tally.NoopScope))
+	second.managers = append(second.managers, account.NewManager(memory, "restarted", second, noLenders{}, clk, slog.New(slog.NewTextHandler(io.Discard, nil)), tally.NoopScope))
 	_, err := reserveInFull(ctx, second.managers[0], "p", 500, 1100)
 	var spent *account.SpentError
 	assert.ErrorAs(t, err, &spent)
@@ -232,7 +232,7 @@
 		require.NoError(t, err)
 	}
 	second := &fleet{}
-	second.managers = append(second.managers, account.NewKeeper(memory, "restarted", second, noLenders{}, clock.Real{}, slog.New(slog.NewTextHandler(io.Discard, nil)), tally.NoopScope))
+	second.managers = append(second.managers, account.NewManager(memory, "restarted", second, noLenders{}, clock.Real{}, slog.New(slog.NewTextHandler(io.Discard, nil)), tally.NoopScope))
 	served := 0
 	for range 30 {
 		turn, err := reserveInFull(ctx, second.managers[0], "p", maxTokens, total)
--- a/account/program.go
+++ b/account/program.go
@@ -17,7 +17,7 @@
 	id      string
 	total   int64 // the budget in tokens
 	rowLock chan struct{}
-	pins    int // calls in progress that use the program; guarded by Keeper.mu
+	pins    int // calls in progress that use the program; guarded by Manager.mu
 
 	mu    sync.Mutex
 	usage *budget.Usage
--- a/account/release.go
+++ b/account/release.go
@@ -25,11 +25,11 @@
 	maxTransactionEntries = 100
 )
 
-// GiveBack releases the unused tokens of the program's local account at the
+// ReleaseUnused releases the unused tokens of the program's local account at the
 // request of another instance. It returns nil once the release is durable and
 // an error if the store fails or ctx ends first. For a program without state
 // here, it releases the account that this incarnation's escrow implies.
-func (manager *Keeper) GiveBack(ctx context.Context, id string) error {
+func (manager *Manager) ReleaseUnused(ctx context.Context, id string) error {
 	p, escrow := manager.programOrEscrow(id)
 	if p == nil {
 		return manager.releaseUnusedEscrow(ctx, id, escrow)
@@ -44,7 +44,7 @@
 // programOrEscrow returns the state of a program or, if there is none, the
 // escrow of its shard. If that escrow belongs to this incarnation, it is no
 // longer used for the program: a later turn gets another account.
-func (manager *Keeper) programOrEscrow(id string) (*program, budget.Escrow) {
+func (manager *Manager) programOrEscrow(id string) (*program, budget.Escrow) {
 	manager.mu.Lock()
 	defer manager.mu.Unlock()
 	if p := manager.programs[id]; p != nil {
@@ -61,7 +61,7 @@
 // from the row of a program without state here, unless the account granted
 // tokens. The instance that wrote the row counted the account, since the
 // escrow implied it.
-func (manager *Keeper) releaseUnusedEscrow(ctx context.Context, id string, escrow budget.Escrow) error {
+func (manager *Manager) releaseUnusedEscrow(ctx context.Context, id string, escrow budget.Escrow) error {
 	if !manager.isLocal(escrow) {
 		return nil
 	}
@@ -87,7 +87,7 @@
 
 // releaseProgram writes a row that releases the unused tokens of p, if there
 // are any. The caller holds the row lock.
-func (manager *Keeper) releaseProgram(ctx context.Context, p *program) error {
+func (manager *Manager) releaseProgram(ctx context.Context, p *program) error {
 	var err error
 	for range maxConflicts {
 		ledger := p.releaseUnused(manager.loans.isStopped())
@@ -108,13 +108,13 @@
 // Sweep releases the unused tokens of programs that were idle for idleTimeout
 // and evicts them, until ctx ends, and then sends nil on done. A program whose
 // row cannot be written is kept.
-func (manager *Keeper) Sweep(ctx context.Context, done chan<- error) {
+func (manager *Manager) Sweep(ctx context.Context, done chan<- error) {
 	clock.Every(ctx, sweepInterval, func(time.Time) { manager.SweepOnce(ctx) }, done)
 }
 
 // SweepOnce settles expired loans, releases the unused tokens of programs that
 // are idle now and evicts these programs.
-func (manager *Keeper) SweepOnce(ctx context.Context) {
+func (manager *Manager) SweepOnce(ctx context.Context) {
 	manager.settleExpiredLoans()
 	for _, programs := range splitIntoBatches(manager.idlePrograms()) {
 		for _, p := range manager.releaseBatch(ctx, programs) {
@@ -124,7 +124,7 @@
 }
 
 // idlePrograms returns the programs that were idle for idleTimeout.
-func (manager *Keeper) idlePrograms() []*program {
+func (manager *Manager) idlePrograms() []*program {
 	manager.mu.Lock()
 	defer manager.mu.Unlock()
 	var idlePrograms []*program
@@ -138,14 +138,14 @@
 
 // isIdle reports whether p has no turn in flight and its last use was at least
 // idleTimeout ago.
-func (manager *Keeper) isIdle(p *program) bool {
+func (manager *Manager) isIdle(p *program) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.usage.Idle() && manager.clock.Now().Sub(p.lastUsed) >= idleTimeout
 }
 
 // evict removes the state of a program that is still idle.
-func (manager *Keeper) evict(p *program) {
+func (manager *Manager) evict(p *program) {
 	manager.mu.Lock()
 	defer manager.mu.Unlock()
 	if p.pins == 0 && manager.isIdle(p) && manager.programs[p.id] == p {
@@ -160,7 +160,7 @@
 // programs and half a second for the release. Stop returns an
 // *UnreleasedBudgetError, the store's *store.Error, or both joined, if
 // something could not be released. It may be called again.
-func (manager *Keeper) Stop(ctx context.Context) error {
+func (manager *Manager) Stop(ctx context.Context) error {
 	manager.loans.stop()
 	loans, remaining := manager.loans.outstanding()
 	manager.log.Info("stopping: releasing unused budgets", "programs", manager.Len(), "loans", loans, "rest_tokens", remaining)
@@ -172,7 +172,7 @@
 // keeps its escrow, which must stay until all programs that it granted tokens
 // have a row. The error is or joins an *UnreleasedBudgetError if programs are
 // unreleased, and the store's *store.Error if shards are.
-func (manager *Keeper) releaseProgramsAndShards(ctx context.Context, shards []int, match func(id string) bool) error {
+func (manager *Manager) releaseProgramsAndShards(ctx context.Context, shards []int, match func(id string) bool) error {
 	unreleased := manager.releasePrograms(ctx, match)
 	blocked := map[int]bool{}
 	for _, p := range unreleased {
@@ -188,7 +188,7 @@
 
 // releasePrograms releases the unused tokens of the programs that match. It
 // returns the programs that could not be released.
-func (manager *Keeper) releasePrograms(ctx context.Context, match func(id string) bool) (unreleased []*program) {
+func (manager *Manager) releasePrograms(ctx context.Context, match func(id string) bool) (unreleased []*program) {
 	var programs []*program
 	manager.mu.Lock()
 	for id, p := range manager.programs {
@@ -204,7 +204,7 @@
 // releaseBatches releases the unused tokens of batches of programs, all
 // batches concurrently, and returns the programs that have nothing more to
 // release.
-func (manager *Keeper) releaseBatches(ctx context.Context, batches [][]*program) map[*program]bool {
+func (manager *Manager) releaseBatches(ctx context.Context, batches [][]*program) map[*program]bool {
 	results := make(chan []*program, len(batches))
 	for _, batch := range batches {
 		go func() { results <- manager.releaseBatch(ctx, batch) }()
@@ -270,7 +270,7 @@
 // by partition, since a transaction over several partitions is rejected if one
 // of them is unavailable or busy. It returns the programs that have nothing
 // more to release.
-func (manager *Keeper) releaseBatch(ctx context.Context, programs []*program) []*program {
+func (manager *Manager) releaseBatch(ctx context.Context, programs []*program) []*program {
 	done, unserved := manager.releaseInTransaction(ctx, programs)
 	if groups := programsByPartition(unserved); len(groups) > 1 {
 		return slices.AppendSeq(done, maps.Keys(manager.releaseBatches(ctx, groups)))
@@ -282,7 +282,7 @@
 // transaction, and after a conflict one by one. It returns the programs that
 // have nothing more to release, and those of a transaction that the store did
 // not serve.
-func (manager *Keeper) releaseInTransaction(ctx context.Context, programs []*program) (done, unserved []*program) {
+func (manager *Manager) releaseInTransaction(ctx context.Context, programs []*program) (done, unserved []*program) {
 	var tx store.Transaction
 	var ledgers []*budget.Ledger
 	var granted []*program
--- a/account/release_test.go
+++ b/account/release_test.go
@@ -35,7 +35,7 @@
 	require.Error(t, a.AcquireOnce(ctx, a, false), "the programs that have rows cannot be read")
 	memory.SetFault(storeServes)
 	for turn := range 2 {
-		reservation, err := reserveInFull(ctx, a.Keeper, "p", 567, 1134)
+		reservation, err := reserveInFull(ctx, a.Manager, "p", 567, 1134)
 		require.NoError(t, err, "turn %d", turn)
 		reservation.Settle(567)
 	}
@@ -44,7 +44,7 @@
 	assert.LessOrEqual(t, sum.Granted, int64(1134))
 	single, err := a.Reserve(ctx, "single", 567, 600)
 	require.NoError(t, err, "a program with one turn")
-	assert.EqualValues(t, 567, single.Promised())
+	assert.EqualValues(t, 567, single.GrantedTokens())
 }
 
 // Guards against programs that are refused because of tokens held by the
@@ -57,14 +57,14 @@
 	a, b := cluster.start("a"), cluster.start("b") // each is the home in its own member list
 	a.acquire(t)
 	for turn := range 2 {
-		reservation, err := reserveInFull(ctx, b.Keeper, "p", 567, 1134)
+		reservation, err := reserveInFull(ctx, b.Manager, "p", 567, 1134)
 		require.NoError(t, err, "turn %d", turn)
 		reservation.Settle(567)
 	}
 	var spent *account.SpentError
 	_, err := a.Reserve(ctx, "p", 100, 1134)
 	require.ErrorAs(t, err, &spent, "the escrow's account was released")
-	_, err = reserveInFull(ctx, a.Keeper, "p", 1, 1134)
+	_, err = reserveInFull(ctx, a.Manager, "p", 1, 1134)
 	require.ErrorAs(t, err, &spent)
 }
 
@@ -78,15 +78,15 @@
 	cluster := &testCluster{store: memory, clock: clk}
 	a, b := cluster.start("a"), cluster.start("b")
 	a.acquire(t)
-	reservation, err := reserveInFull(ctx, a.Keeper, "p", 300, 1000)
+	reservation, err := reserveInFull(ctx, a.Manager, "p", 300, 1000)
 	require.NoError(t, err)
 	reservation.Settle(300)
 	clk.Advance(3 * time.Minute)
 	a.SweepOnce(ctx)
 	require.Zero(t, a.Len())
-	_, err = reserveInFull(ctx, b.Keeper, "p", 701, 1000)
+	_, err = reserveInFull(ctx, b.Manager, "p", 701, 1000)
 	require.Error(t, err)
-	_, err = reserveInFull(ctx, b.Keeper, "p", 700, 1000)
+	_, err = reserveInFull(ctx, b.Manager, "p", 700, 1000)
 	require.NoError(t, err)
 }
 
@@ -98,21 +98,21 @@
 	cluster := &testCluster{store: memory, clock: clock.Real{}, detectsReplacement: true}
 	a, b := cluster.start("a"), cluster.start("b")
 	a.acquire(t)
-	first, err := reserveInFull(ctx, b.Keeper, "p", 567, 1134)
+	first, err := reserveInFull(ctx, b.Manager, "p", 567, 1134)
 	require.NoError(t, err)
 	first.Settle(567)
-	used, err := reserveInFull(ctx, a.Keeper, "used", 300, 1000)
+	used, err := reserveInFull(ctx, a.Manager, "used", 300, 1000)
 	require.NoError(t, err)
 	used.Settle(300)
 	require.NoError(t, a.Stop(ctx))
 	a.up = false
 	cluster.start("a")
-	second, err := reserveInFull(ctx, b.Keeper, "p", 567, 1134)
+	second, err := reserveInFull(ctx, b.Manager, "p", 567, 1134)
 	require.NoError(t, err)
 	second.Settle(567)
-	_, err = reserveInFull(ctx, b.Keeper, "used", 701, 1000)
+	_, err = reserveInFull(ctx, b.Manager, "used", 701, 1000)
 	require.Error(t, err, "tokens granted by the escrow stay counted")
-	_, err = reserveInFull(ctx, b.Keeper, "used", 700, 1000)
+	_, err = reserveInFull(ctx, b.Manager, "used", 700, 1000)
 	require.NoError(t, err)
 }
 
@@ -140,7 +140,7 @@
 	a := cluster.start("a")
 	a.acquire(t)
 	for n := range 60 {
-		turn, err := reserveInFull(ctx, a.Keeper, fmt.Sprint("p", n), 300, 1000)
+		turn, err := reserveInFull(ctx, a.Manager, fmt.Sprint("p", n), 300, 1000)
 		require.NoError(t, err)
 		turn.Settle(100)
 	}
@@ -149,7 +149,7 @@
 	b := cluster.start("b")
 	b.acquire(t)
 	for n := range 60 {
-		_, err := reserveInFull(ctx, b.Keeper, fmt.Sprint("p", n), 900, 1000)
+		_, err := reserveInFull(ctx, b.Manager, fmt.Sprint("p", n), 900, 1000)
 		assert.NoError(t, err, "program %d", n)
 	}
 }
@@ -165,7 +165,7 @@
 		a := cluster.start("a")
 		a.acquire(t)
 		for n := range 60 {
-			turn, err := reserveInFull(ctx, a.Keeper, fmt.Sprint("p", n), 300, 1000)
+			turn, err := reserveInFull(ctx, a.Manager, fmt.Sprint("p", n), 300, 1000)
 			require.NoError(t, err)
 			turn.Settle(300)
 		}
@@ -193,7 +193,7 @@
 		assert.GreaterOrEqual(t, begun, 90, "the next home starts programs by escrow")
 		memory.SetFault(storeServes)
 		for n := range 60 {
-			_, err := reserveInFull(ctx, b.Keeper, fmt.Sprint("p", n), 701, 1000)
+			_, err := reserveInFull(ctx, b.Manager, fmt.Sprint("p", n), 701, 1000)
 			assert.Error(t, err, "program %d", n)
 		}
 	}
--- a/account/remainder_test.go
+++ b/account/remainder_test.go
@@ -54,7 +54,7 @@
 	defer memory.SetFault(storeServes)
 	turn, err := m.Reserve(context.Background(), program, maxTokens, total)
 	require.NoError(t, err)
-	require.Less(t, turn.Promised(), maxTokens)
+	require.Less(t, turn.GrantedTokens(), maxTokens)
 	return turn
 }
 
@@ -68,16 +68,16 @@
 	turn := beginPartially(t, memory, b, program, maxTokens, total)
 	require.NoError(t, a.Stop(ctx))
 	a.up = false
-	second, err := reserveInFull(ctx, c.Keeper, program, maxTokens, total)
+	second, err := reserveInFull(ctx, c.Manager, program, maxTokens, total)
 	require.NoError(t, err)
-	third, err := reserveInFull(ctx, c.Keeper, program, total-2*maxTokens, total)
+	third, err := reserveInFull(ctx, c.Manager, program, total-2*maxTokens, total)
 	require.NoError(t, err)
 	c.up = false // unreachable for a moment, but still running
 	require.NoError(t, turn.Extend(ctx))
-	require.Less(t, turn.Promised(), int64(maxTokens), "half of the remainder")
+	require.Less(t, turn.GrantedTokens(), int64(maxTokens), "half of the remainder")
 	err = turn.Extend(ctx)
 	ledger, sum := programRow(t, memory, program)
-	t.Log("promised", turn.Promised(), "err", err, ledger.Accounts, "sum", sum)
+	t.Log("promised", turn.GrantedTokens(), "err", err, ledger.Accounts, "sum", sum)
 	c.up = true
 	// c's turns end. c serves what its account grants without reading the row.
 	second.Settle(0)
@@ -88,12 +88,12 @@
 			more = append(more, r)
 		}
 	}
-	promised := turn.Promised() + total - 2*maxTokens
+	promised := turn.GrantedTokens() + total - 2*maxTokens
 	for _, r := range more {
-		promised += r.Promised()
+		promised += r.GrantedTokens()
 	}
 	assert.LessOrEqual(t, promised, int64(total), "tokens spent and granted")
-	turn.Settle(turn.Promised())
+	turn.Settle(turn.GrantedTokens())
 	require.NoError(t, b.Stop(ctx))
 	ledger, sum = programRow(t, memory, program)
 	t.Log(ledger.Accounts, "sum", sum)
@@ -114,10 +114,10 @@
 	require.NoError(t, a.Stop(ctx))
 	a.up = false
 	b.peers, c.peers = []string{"c"}, []string{"b"}
-	second, err := reserveInFull(ctx, c.Keeper, program, maxTokens, total)
+	second, err := reserveInFull(ctx, c.Manager, program, maxTokens, total)
 	require.NoError(t, err)
 	require.NoError(t, turn.Extend(ctx))
-	require.EqualValues(t, maxTokens, turn.Promised())
+	require.EqualValues(t, maxTokens, turn.GrantedTokens())
 	turn.Settle(maxTokens)
 	second.Settle(maxTokens)
 	ledger, _ := programRow(t, memory, program)
@@ -137,23 +137,23 @@
 	turn, err := b.Reserve(ctx, program, maxTokens, total)
 	require.NoError(t, err)
 	require.NoError(t, turn.Extend(ctx), "the escrow's second partial grant")
-	begun := turn.Promised()
+	begun := turn.GrantedTokens()
 	require.Less(t, begun, int64(maxTokens))
 	memory.SetFault(storeServes)
 	require.NoError(t, a.Stop(ctx))
 	a.up = false
-	second, err := reserveInFull(ctx, b.Keeper, program, maxTokens, total)
+	second, err := reserveInFull(ctx, b.Manager, program, maxTokens, total)
 	require.NoError(t, err)
 	second.Settle(200) // what a turn spends on average
 	require.NoError(t, turn.Extend(ctx))
-	require.EqualValues(t, maxTokens, turn.Promised())
+	require.EqualValues(t, maxTokens, turn.GrantedTokens())
 	turn.Settle(maxTokens)
-	require.NoError(t, b.Keeper.GiveBack(ctx, program))
+	require.NoError(t, b.Manager.ReleaseUnused(ctx, program))
 	ledger, sum := programRow(t, memory, program)
 	t.Log("begun with", begun, ledger.Accounts, sum)
 	assert.EqualValues(t, maxTokens+200, sum.Used)
 	const remaining = total - maxTokens - 200
-	last, err := reserveInFull(ctx, c.Keeper, program, remaining, total)
+	last, err := reserveInFull(ctx, c.Manager, program, remaining, total)
 	require.NoError(t, err, "%d tokens of the budget remain", remaining)
 	last.Settle(remaining)
 }
@@ -169,7 +169,7 @@
 	memory.SetFault(storeRefuses)
 	turn, err := b.Reserve(ctx, program, maxTokens, total)
 	require.NoError(t, err)
-	require.Less(t, turn.Promised(), int64(maxTokens))
+	require.Less(t, turn.GrantedTokens(), int64(maxTokens))
 	memory.SetFault(func(op, _ string) storetest.Fault {
 		if op == "commit" {
 			return storetest.LoseAnswer
@@ -221,9 +221,9 @@
 	duringRelease func()
 }
 
-func (h hookedHolders) GiveBack(ctx context.Context, program string, accounts []string) {
+func (h hookedHolders) ReleaseUnused(ctx context.Context, program string, accounts []string) {
 	h.duringRelease()
-	h.instance.GiveBack(ctx, program, accounts)
+	h.instance.ReleaseUnused(ctx, program, accounts)
 }
 
 // Guards against tokens granted to a home after it stopped and released its
@@ -234,17 +234,17 @@
 	memory := storetest.New()
 	_, b, _, program := startThreeInstances(t, memory, clock.Real{})
 	const maxTokens, total = 567, 5000
-	turn, err := reserveInFull(ctx, b.Keeper, program, maxTokens, total)
+	turn, err := reserveInFull(ctx, b.Manager, program, maxTokens, total)
 	require.NoError(t, err)
 	_ = turn
-	var home *account.Keeper
-	home = account.NewKeeper(memory, "h-1", hookedHolders{b, func() { assert.NoError(t, home.Stop(ctx)) }}, alwaysHome{b}, clock.Real{}, slog.New(slog.DiscardHandler), tally.NoopScope)
+	var home *account.Manager
+	home = account.NewManager(memory, "h-1", hookedHolders{b, func() { assert.NoError(t, home.Stop(ctx)) }}, alwaysHome{b}, clock.Real{}, slog.New(slog.DiscardHandler), tally.NoopScope)
 	// Other instances hold nearly all tokens and release them on request.
-	_, err = reserveInFull(ctx, b.Keeper, program, 4000, total)
+	_, err = reserveInFull(ctx, b.Manager, program, 4000, total)
 	require.NoError(t, err)
 	loan, err := home.Lend(ctx, program, account.Borrowing{Turn: budget.FullTurn(400), Total: total})
 	if err == nil {
-		home.Repaid([]account.Repayment{{Loan: loan.ID, Spent: 100}})
+		home.SettleLoans([]account.Repayment{{Loan: loan.ID, Spent: 100}})
 	}
 	ledger, _ := programRow(t, memory, program)
 	t.Log(err, loan.Promised, ledger.Accounts)
@@ -275,7 +275,7 @@
 		ctx, cancel := context.WithCancel(context.Background())
 		cancel() // as if during the previous delivery
 		done := make(chan error, 1)
-		b.Keeper.Repay(ctx, done)
+		b.Manager.Repay(ctx, done)
 		require.NoError(t, <-done)
 		require.NoError(t, a.Stop(context.Background()))
 		_, sum := programRow(t, memory, program)
@@ -299,9 +299,9 @@
 	require.NoError(t, err)
 	memory.SetFault(storeServes)
 	a.up = false
-	_, err = reserveInFull(ctx, c.Keeper, program, maxTokens, total)
+	_, err = reserveInFull(ctx, c.Manager, program, maxTokens, total)
 	require.NoError(t, err)
-	_, err = reserveInFull(ctx, c.Keeper, program, 250, total)
+	_, err = reserveInFull(ctx, c.Manager, program, 250, total)
 	require.NoError(t, err)
 	c.up = false
 	a.cluster.start("a", "b", "c")
@@ -366,7 +366,7 @@
 			}
 			for _, turn := range append(others, stream) {
 				require.NoError(t, turn.Extend(ctx), "budget %d, %s stops", total, stop)
-				assert.Equal(t, int64(maxTokens), turn.Promised(), "budget %d, %s stops", total, stop)
+				assert.Equal(t, int64(maxTokens), turn.GrantedTokens(), "budget %d, %s stops", total, stop)
 			}
 		}
 	}
--- a/account/reservation.go
+++ b/account/reservation.go
@@ -15,7 +15,7 @@
 
 // Reservation holds the tokens reserved for a turn until Settle.
 type Reservation struct {
-	manager *Keeper
+	manager *Manager
 	program *program
 	// turn holds the tokens granted so far, and total is the program's budget.
 	// remainder is the reservation of further tokens if another account grants
@@ -36,22 +36,22 @@
 	location  Place
 }
 
-// Places returns the cache locations of the prompt segments named to Reserve,
+// CacheLocations returns the cache locations of the prompt segments named to Reserve,
 // as recorded by earlier turns through any instance.
-func (reservation *Reservation) Places() []Place { return reservation.locations }
+func (reservation *Reservation) CacheLocations() []Place { return reservation.locations }
 
-// KeptAt sets the cache location of a segment of the turn's prompt, which
+// SetCacheLocation sets the cache location of a segment of the turn's prompt, which
 // Settle records.
-func (reservation *Reservation) KeptAt(location Place) { reservation.location = location }
+func (reservation *Reservation) SetCacheLocation(location Place) { reservation.location = location }
 
 // Home returns the instance whose account grants the turn, or "" for this
 // instance.
 func (reservation *Reservation) Home() string { return reservation.home }
 
-// Promised returns the number of tokens that the turn may spend so far.
-func (reservation *Reservation) Promised() int64 {
+// GrantedTokens returns the number of tokens that the turn may spend so far.
+func (reservation *Reservation) GrantedTokens() int64 {
 	if reservation.remainder != nil {
-		return reservation.turn.Part + reservation.remainder.Promised()
+		return reservation.turn.Part + reservation.remainder.GrantedTokens()
 	}
 	return reservation.turn.Part
 }
@@ -60,7 +60,7 @@
 // not available, a part of it. It returns the errors of Reserve; what was
 // granted before stays reserved then.
 func (reservation *Reservation) Extend(ctx context.Context) error {
-	remaining := reservation.turn.Most - reservation.Promised()
+	remaining := reservation.turn.Most - reservation.GrantedTokens()
 	if remaining <= 0 {
 		return nil
 	}
--- a/account/row.go
+++ b/account/row.go
@@ -20,7 +20,7 @@
 )
 
 // readRow reads and records the program's row.
-func (manager *Keeper) readRow(ctx context.Context, p *program) error {
+func (manager *Manager) readRow(ctx context.Context, p *program) error {
 	row, err := store.Get(ctx, manager.store, rowKey(p.id))
 	if err != nil {
 		return err
@@ -30,7 +30,7 @@
 
 // adoptRow records the program's row as read. If there is no row, the
 // program's only account is the one that the escrow of its shard implies.
-func (manager *Keeper) adoptRow(p *program, row store.Row) error {
+func (manager *Manager) adoptRow(p *program, row store.Row) error {
 	if row.Version == 0 {
 		p.adoptImplied(manager.implied(p.id, p.usage.Owner(), p.total))
 		return nil
@@ -50,7 +50,7 @@
 // shard's escrow. account is the program's account here. An escrow of this
 // incarnation grants nothing if that is another account: a program that was
 // granted tokens by the escrow uses its account here, or has a row.
-func (manager *Keeper) implied(id, account string, total int64) (*budget.Ledger, uint64) {
+func (manager *Manager) implied(id, account string, total int64) (*budget.Ledger, uint64) {
 	escrow, version := manager.escrows.get(budget.Shard(id))
 	if manager.isLocal(escrow) && escrow.Account != account {
 		escrow = budget.Escrow{}
@@ -60,7 +60,7 @@
 
 // writeRow writes ledger as the program's row. On a conflict it records the
 // current row and returns the conflict.
-func (manager *Keeper) writeRow(ctx context.Context, p *program, ledger *budget.Ledger) error {
+func (manager *Manager) writeRow(ctx context.Context, p *program, ledger *budget.Ledger) error {
 	value, err := ledger.Encode()
 	if err != nil {
 		return store.NewError(store.FailureInvalid, "budget", err.Error())
@@ -91,7 +91,7 @@
 
 // adoptConflict records what made the write of p's row fail: a newer row, or a
 // newer escrow of its shard.
-func (manager *Keeper) adoptConflict(ctx context.Context, p *program, rows []store.Row) error {
+func (manager *Manager) adoptConflict(ctx context.Context, p *program, rows []store.Row) error {
 	k, index := rowKey(p.id), budget.Shard(p.id)
 	shardUpdated := false
 	for _, row := range rows {
--- a/cmd/wagtaildrum/front.go
+++ b/cmd/wagtaildrum/front.go
@@ -132,7 +132,7 @@
 	list     *membership.List
 	picker   *balance.Picker
 	client   *upstream.Client
-	accounts *account.Keeper
+	accounts *account.Manager
 	quotas   *quota.Limiter
 	// directStore reaches the store by this instance's own connections only.
 	// store also relays through other instances while those connections fail.
@@ -164,7 +164,7 @@
 		}
 	})
 	f := &front{process: p, list: list, picker: balance.NewPicker(clk), client: upstream.NewClient(), owner: owner, directory: directory, directStore: directStore, store: guard}
-	f.accounts = account.NewKeeper(guard, owner, peers, peers, clk, p.log, scope)
+	f.accounts = account.NewManager(guard, owner, peers, peers, clk, p.log, scope)
 	turns := archive.New(guard, peers, s.RowBytes, int(turnCacheShare*float64(s.Memory)), p.log, scope)
 	f.quotas = quota.NewLimiter(peers, s.Tolerance, clk, p.log, scope)
 	f.peers = &entrypeer.Server{Store: directStore, Lender: f.accounts, Turns: turns, Quotas: f.quotas, Directory: directory, Log: p.log}
--- a/entrypeer/client.go
+++ b/entrypeer/client.go
@@ -59,7 +59,7 @@
 // Unwrap returns the cause.
 func (e *TransportError) Unwrap() error { return e.cause }
 
-// Client calls other entry instances. It implements account.Holders,
+// Client calls other entry instances. It implements account.Owners,
 // account.Lenders, archive.Peers and quota.Peers.
 type Client struct {
 	directory *Directory
@@ -72,10 +72,10 @@
 	return &Client{directory: directory, http: &http.Client{Transport: transport}}
 }
 
-// GiveBack implements account.Holders. It calls each instance that owns one of
+// ReleaseUnused implements account.Owners. It calls each instance that owns one of
 // the accounts once, all of them concurrently, and returns when every call has
 // ended. Accounts of instances missing from the directory are skipped.
-func (client *Client) GiveBack(ctx context.Context, program string, accounts []string) {
+func (client *Client) ReleaseUnused(ctx context.Context, program string, accounts []string) {
 	requested := map[string]bool{}
 	var calls sync.WaitGroup
 	for _, account := range accounts {
--- a/entrypeer/entrypeer_test.go
+++ b/entrypeer/entrypeer_test.go
@@ -44,7 +44,7 @@
 	quotas           *quota.Limiter
 }
 
-func (i *instance) GiveBack(_ context.Context, program string) error {
+func (i *instance) ReleaseUnused(_ context.Context, program string) error {
 	i.releaseRequested.Store(&program)
 	return nil
 }
@@ -80,7 +80,7 @@
 	return []archive.Kept{{ID: "t1", Rows: [][]byte{[]byte("row 0"), []byte("row 1")}}}
 }
 
-func (i *instance) Repaid(repayments []account.Repayment) {
+func (i *instance) SettleLoans(repayments []account.Repayment) {
 	for _, repayment := range repayments {
 		i.repaidTokens.Add(repayment.Spent)
 		i.repaidLoans.Add(1)
@@ -257,7 +257,7 @@
 	_, err = memory.Commit(context.Background(), store.Transaction{Puts: []store.Put{{Key: key, Value: stale}}})
 	require.NoError(t, err)
 	require.Eventually(t, func() bool {
-		asker.client.GiveBack(context.Background(), "p", []string{"holder-1.1"})
+		asker.client.ReleaseUnused(context.Background(), "p", []string{"holder-1.1"})
 		return holder.releaseRequested.Load() != nil
 	}, 2*time.Second, 20*time.Millisecond)
 }
@@ -266,7 +266,7 @@
 	memory := storetest.New()
 	asker, holder, other := start(t, memory, "asker"), start(t, memory, "holder"), start(t, memory, "other")
 	time.Sleep(50 * time.Millisecond)
-	asker.client.GiveBack(context.Background(), "p", []string{"holder-1.7", "gone-1.2", "odd"})
+	asker.client.ReleaseUnused(context.Background(), "p", []string{"holder-1.7", "gone-1.2", "odd"})
 	require.NotNil(t, holder.releaseRequested.Load())
 	assert.Equal(t, "p", *holder.releaseRequested.Load())
 	assert.Nil(t, other.releaseRequested.Load())
@@ -274,7 +274,7 @@
 	holder.releaseRequested.Store(nil)
 	require.Eventually(t, func() bool {
 		holder.releaseRequested.Store(nil)
-		asker.client.GiveBack(context.Background(), "p", []string{"holder-1.7"})
+		asker.client.ReleaseUnused(context.Background(), "p", []string{"holder-1.7"})
 		return holder.releaseRequested.Load() == nil
 	}, time.Second, 10*time.Millisecond, "an instance that left is not called")
 }
@@ -389,9 +389,9 @@
 	require.NoError(t, err)
 	_, err = memory.Commit(context.Background(), store.Transaction{Puts: []store.Put{{Key: store.Key{Table: "entries", Name: store.Name("m-1")}, Value: value}}})
 	require.NoError(t, err)
-	assert.Eventually(t, func() bool { return a.client.Gone(older + ".1") }, time.Second, 5*time.Millisecond)
+	assert.Eventually(t, func() bool { return a.client.OwnerTerminated(older + ".1") }, time.Second, 5*time.Millisecond)
 	for _, running := range []string{known, newer, entrypeer.NewOwner("m-2", began), "m-1", ""} {
-		assert.False(t, a.client.Gone(running+".1"), running)
+		assert.False(t, a.client.OwnerTerminated(running+".1"), running)
 	}
 }
 
@@ -414,7 +414,7 @@
 		cancel()
 		require.Error(t, err)
 	}
-	a.client.GiveBack(context.Background(), "p", []string{b.owner + ".1"})
+	a.client.ReleaseUnused(context.Background(), "p", []string{b.owner + ".1"})
 	if releaseRequested := b.releaseRequested.Load(); assert.NotNil(t, releaseRequested) {
 		assert.Equal(t, "p", *releaseRequested)
 	}
--- a/entrypeer/lending.go
+++ b/entrypeer/lending.go
@@ -152,7 +152,7 @@
 	case r.Context().Err() != nil:
 		// The caller has given up and will not receive the loan, so it is
 		// repaid at once: otherwise it would count as spent.
-		server.Lender.Repaid([]account.Repayment{{Loan: response.Loan.ID}})
+		server.Lender.SettleLoans([]account.Repayment{{Loan: response.Loan.ID}})
 		return
 	}
 	server.reply(w, &response)
@@ -164,6 +164,6 @@
 	if !decode(w, r, &message) {
 		return
 	}
-	server.Lender.Repaid(message.Repayments)
+	server.Lender.SettleLoans(message.Repayments)
 	w.WriteHeader(http.StatusNoContent)
 }
--- a/entrypeer/owner.go
+++ b/entrypeer/owner.go
@@ -54,12 +54,12 @@
 	return account[:max(strings.LastIndexByte(account, '.'), 0)]
 }
 
-// Gone implements account.Holders. It reports whether a later incarnation is
+// OwnerTerminated implements account.Owners. It reports whether a later incarnation is
 // recorded of the instance that owns an account. A crashed instance that has
 // not restarted is not reported as gone, since it may just be partitioned.
 // Changes of the directory may arrive late, so the recorded incarnation may
 // also be the earlier of the two.
-func (client *Client) Gone(account string) bool {
+func (client *Client) OwnerTerminated(account string) bool {
 	owner := accountOwner(account)
 	previous, ok := parseOwner(owner)
 	if !ok {
--- a/entrypeer/server.go
+++ b/entrypeer/server.go
@@ -30,17 +30,17 @@
 	Log       *slog.Logger
 }
 
-// Lender manages the accounts of programs. *account.Keeper implements it.
+// Lender manages the accounts of programs. *account.Manager implements it.
 type Lender interface {
-	// GiveBack releases the unused tokens that this instance holds of a
+	// ReleaseUnused releases the unused tokens that this instance holds of a
 	// program's budget.
-	GiveBack(ctx context.Context, program string) error
+	ReleaseUnused(ctx context.Context, program string) error
 	// Lend reserves tokens for a turn that another instance serves. It returns
 	// an *account.SpentError, *account.HeldError or *account.StoppedError if it
 	// grants none, and another error if it cannot decide.
 	Lend(ctx context.Context, program string, borrowing account.Borrowing) (account.Loan, error)
-	// Repaid records the final usage of loans.
-	Repaid(repayments []account.Repayment)
+	// SettleLoans records the final usage of loans.
+	SettleLoans(repayments []account.Repayment)
 }
 
 // Handler returns the HTTP handler of the calls.
@@ -63,7 +63,7 @@
 	if !decode(w, r, &message) {
 		return
 	}
-	if err := server.Lender.GiveBack(r.Context(), message.Program); err != nil {
+	if err := server.Lender.ReleaseUnused(r.Context(), message.Program); err != nil {
 		server.Log.Info("budget tokens not released for another instance; responding with status 503", "program", message.Program, "err", err)
 		http.Error(w, err.Error(), http.StatusServiceUnavailable)
 		return
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -27,7 +27,7 @@
 	Endpoints  *membership.List
 	Picker     *balance.Picker
 	Upstream   *upstream.Client
-	Accounts   *account.Keeper
+	Accounts   *account.Manager
 	Archive    *archive.Archive
 	Durability Durability
 	// Quotas limits the request rate of each organisation.
--- a/gateway/gateway_test.go
+++ b/gateway/gateway_test.go
@@ -54,7 +54,7 @@
 	fixture          *fixture
 	client           *upstream.Client
 	guard            *store.Guard
-	accounts         *account.Keeper
+	accounts         *account.Manager
 	address          string
 	stop             context.CancelFunc
 	done             chan error
@@ -75,11 +75,11 @@
 // without any.
 type singleInstance struct{}
 
-func (singleInstance) GiveBack(context.Context, string, []string) {}
+func (singleInstance) ReleaseUnused(context.Context, string, []string) {}
 
 func (singleInstance) Turns(context.Context, string, string) ([]archive.Kept, error) { return nil, nil }
 
-func (singleInstance) Gone(string) bool { return false }
+func (singleInstance) OwnerTerminated(string) bool { return false }
 
 func (singleInstance) Home(string) string { return "" }
 
@@ -129,7 +129,7 @@
 	current, list := &route.Current{}, membership.NewList()
 	guard := store.NewGuard(b.store, func(string, bool, error) {})
 	i := &instance{fixture: b, client: upstream.NewClient(), guard: guard, done: make(chan error, 5)}
-	i.accounts = account.NewKeeper(guard, fmt.Sprintf("i%d", b.ids.Add(1)), singleInstance{}, singleInstance{}, clk, log, tally.NoopScope)
+	i.accounts = account.NewManager(guard, fmt.Sprintf("i%d", b.ids.Add(1)), singleInstance{}, singleInstance{}, clk, log, tally.NoopScope)
 	i.Gateway = gateway.New(gateway.Parts{DataCentre: "a", Dialect: platform.Dialect{}, Routes: current, Endpoints: list, Picker: balance.NewPicker(clk), Upstream: i.client,
 		Accounts: i.accounts, Quotas: quota.NewLimiter(singleInstance{}, quota.Tolerance{Window: 5 * time.Second}, clk, log, tally.NoopScope), Archive: archive.New(guard, singleInstance{}, 64<<10, 1<<20, log, tally.NoopScope), Durability: i, Clock: clk, Log: log, Metrics: tally.NoopScope})
 	ctx, cancel := context.WithCancel(context.Background())
@@ -389,7 +389,7 @@
 	i := b.startInstance()
 	ctx := context.Background()
 	require.NoError(t, i.accounts.AcquireOnce(ctx, singleInstance{}, false))
-	other := account.NewKeeper(b.memory, "other", singleInstance{}, singleInstance{}, clock.Real{}, slog.New(slog.DiscardHandler), tally.NoopScope)
+	other := account.NewManager(b.memory, "other", singleInstance{}, singleInstance{}, clock.Real{}, slog.New(slog.DiscardHandler), tally.NoopScope)
 	b.memory.SetFault(func(op, _ string) storetest.Fault {
 		if op == "commit" {
 			return storetest.Refuse
@@ -412,7 +412,7 @@
 		for _, turn := range turns {
 			turn.Settle(100)
 		}
-		held <- other.GiveBack(ctx, "p")
+		held <- other.ReleaseUnused(ctx, "p")
 	})
 	_, body, err := i.send(callerRequest{path: "/chat/x", id: "t1", body: "x", header: turnHeaders("p", nil)})
 	require.NoError(t, <-held)
--- a/gateway/serve.go
+++ b/gateway/serve.go
@@ -193,7 +193,7 @@
 // request. It calls the store only after admission, so that a rejected request
 // costs no store call.
 func (e *exchange) run(ctx context.Context) error {
-	if e.spendsBudget() && e.Accounts.KnownSpent(e.program, e.call.MaxTokens, e.call.Budget) {
+	if e.spendsBudget() && e.Accounts.RecentlySpent(e.program, e.call.MaxTokens, e.call.Budget) {
 		return refuse(ReasonSpent, http.StatusPaymentRequired, 0, nil)
 	}
 	if err := e.chargeQuota(ctx); err != nil {
@@ -395,7 +395,7 @@
 	if e.reservation == nil || e.Durability.Away() {
 		return ""
 	}
-	places := e.reservation.Places()
+	places := e.reservation.CacheLocations()
 	if len(places) == 0 || places[len(places)-1].Instance == e.Instance {
 		return ""
 	}
@@ -468,7 +468,7 @@
 		return e.orEnded(ctx, e.storeUnavailable(err))
 	}
 	e.reservation = reservation
-	for _, place := range reservation.Places() {
+	for _, place := range reservation.CacheLocations() {
 		e.Picker.RecordCached(place.Endpoint, balance.Part{ID: place.Part, Tokens: place.Tokens})
 	}
 	return nil
@@ -492,7 +492,7 @@
 	e.serviceQueues.started(e.program, e.priority)
 	if segments := e.call.Segments; len(segments) > 1 {
 		last := segments[len(segments)-1]
-		e.reservation.KeptAt(account.Place{Part: last.ID, Endpoint: e.incarnation, Tokens: last.Tokens + e.received*e.eventTokens(), Instance: e.Instance})
+		e.reservation.SetCacheLocation(account.Place{Part: last.ID, Endpoint: e.incarnation, Tokens: last.Tokens + e.received*e.eventTokens(), Instance: e.Instance})
 	}
 }
 
@@ -612,7 +612,7 @@
 	if e.spendsBudget() {
 		attrs = append(attrs, slog.Int64("budget", e.call.Budget), slog.Int64("most", e.call.MaxTokens), slog.Int64("spent", e.spentTokens()), slog.Duration("first", e.timeToFirstEvent))
 		if e.reservation != nil {
-			attrs = append(attrs, slog.Int64("promised", e.reservation.Promised()), slog.Uint64("budget_version", e.reservation.Version), slog.String("budget_home", e.reservation.Home()))
+			attrs = append(attrs, slog.Int64("promised", e.reservation.GrantedTokens()), slog.Uint64("budget_version", e.reservation.Version), slog.String("budget_home", e.reservation.Home()))
 		}
 	}
 	if e.heldBack {
--- a/gateway/stream.go
+++ b/gateway/stream.go
@@ -78,7 +78,7 @@
 // has a partial grant, or the store may be too slow to store the turn in time.
 // A caller cannot use a partial response, yet the tokens sent to it are spent.
 func (e *exchange) mustHoldBack() bool {
-	if e.reservation != nil && e.reservation.Promised() < e.call.MaxTokens {
+	if e.reservation != nil && e.reservation.GrantedTokens() < e.call.MaxTokens {
 		return true
 	}
 	return e.route.KeepsHistory && e.Durability.Slow()
@@ -121,7 +121,7 @@
 
 // isCovered reports whether the event's tokens are granted to the turn.
 func (e *exchange) isCovered(event eventstream.Event) bool {
-	return !event.HasData || (e.received+1)*e.eventTokens() <= e.reservation.Promised()
+	return !event.HasData || (e.received+1)*e.eventTokens() <= e.reservation.GrantedTokens()
 }
 
 // extend requests the remainder of the turn's budget until the event is
@@ -130,10 +130,10 @@
 func (e *exchange) extend(ctx context.Context, event eventstream.Event) error {
 	var last error
 	for {
-		before := e.reservation.Promised()
+		before := e.reservation.GrantedTokens()
 		err := e.reservation.Extend(ctx)
 		if err == nil {
-			if e.isCovered(event) || e.reservation.Promised() == before {
+			if e.isCovered(event) || e.reservation.GrantedTokens() == before {
 				return nil
 			}
 			continue
