--- a/cmd/wagtaildrum/front.go
+++ b/cmd/wagtaildrum/front.go
@@ -169,12 +169,12 @@
 	f.quotas = quota.NewLimiter(peers, s.Tolerance, clk, p.log, scope)
 	f.peers = &entrypeer.Server{Store: directStore, Lender: f.accounts, Turns: turns, Quotas: f.quotas, Directory: directory, Log: p.log}
 	self, _ := directory.Members()
-	f.gateway = gateway.New(gateway.Parts{
+	f.gateway = gateway.New(gateway.Config{
 		Instance: self, DataCentre: s.DataCentre, Dialect: platform.Dialect{}, Routes: current, Endpoints: list, Picker: f.picker, Upstream: f.client,
-		Accounts:   f.accounts,
-		Archive:    turns,
-		Quotas:     f.quotas,
-		Durability: durability{store: guard, directory: directory}, BodyBytes: int64(bodyMemoryShare * float64(s.Memory)),
+		Accounts:    f.accounts,
+		Archive:     turns,
+		Quotas:      f.quotas,
+		StoreStatus: storeStatus{store: guard, directory: directory}, MaxBodyBytes: int64(bodyMemoryShare * float64(s.Memory)),
 		Clock: clk, Log: p.log, Metrics: scope,
 	})
 	f.configuration = discovery.NewFollower(guard, discovery.Configuration(platform.ConfigurationKey, platform.DecodeConfiguration, current, p.log), clk, p.log, scope)
@@ -186,23 +186,23 @@
 // dropConnections closes the idle connections to an endpoint that was restarted.
 func (f *front) dropConnections(endpoint *membership.Endpoint) { f.client.Drop(endpoint.Address) }
 
-// durability implements gateway.Durability.
-type durability struct {
+// durability implements gateway.StoreStatus.
+type storeStatus struct {
 	store     *store.Guard
 	directory *entrypeer.Directory
 }
 
-// Away implements gateway.Durability. It reports whether the store is unavailable
+// Unavailable implements gateway.StoreStatus. It reports whether the store is unavailable
 // by every route.
-func (d durability) Away() bool { return d.store.WholeAway() }
+func (d storeStatus) Unavailable() bool { return d.store.WholeAway() }
 
-// Slow implements gateway.Durability. It reports whether the store responds more
+// Slow implements gateway.StoreStatus. It reports whether the store responds more
 // slowly than usual, or not at all at the moment.
-func (d durability) Slow() bool { return d.store.Slow() }
+func (d storeStatus) Slow() bool { return d.store.Slow() }
 
-// Isolated implements gateway.Durability. It reports whether no other instance
+// Isolated implements gateway.StoreStatus. It reports whether no other instance
 // was reachable recently.
-func (d durability) Isolated() bool { return d.directory.Isolated() }
+func (d storeStatus) Isolated() bool { return d.directory.Isolated() }
 
 // serve starts the servers of callers, of readiness checks and of other
 // instances, and returns. When ctx ends, the callers' server drains, the state of
--- a/gateway/admit.go
+++ b/gateway/admit.go
@@ -144,7 +144,7 @@
 // and one waiting request if it rejected the request. The response of an
 // endpoint that the request was not meant for is ignored, unless it reports a
 // load.
-func (serviceQueue *serviceQueue) recordResponse(verdict Verdict) {
+func (serviceQueue *serviceQueue) recordResponse(verdict ResponseInfo) {
 	load := balance.Load{Slots: 1}
 	switch {
 	case verdict.Load != nil:
--- a/gateway/call.go
+++ b/gateway/call.go
@@ -9,8 +9,8 @@
 	"github.com/wagtaildrum/wagtaildrum/route"
 )
 
-// Call holds the request metadata decoded from a caller's headers.
-type Call struct {
+// RequestInfo holds the request metadata decoded from a caller's headers.
+type RequestInfo struct {
 	// ID identifies this attempt of the request.
 	ID string
 	// Key is the organisation's key; the zero value if the caller sent none.
@@ -36,23 +36,23 @@
 	Segments []balance.Part
 }
 
-// BadCallError is returned when a caller's header cannot be parsed.
-type BadCallError struct {
+// HeaderError is returned when a caller's header cannot be parsed.
+type HeaderError struct {
 	header, value string
 }
 
-// NewBadCallError returns an error for the named header and its value.
-func NewBadCallError(header, value string) *BadCallError {
-	return &BadCallError{header: header, value: value}
+// NewHeaderError returns an error for the named header and its value.
+func NewHeaderError(header, value string) *HeaderError {
+	return &HeaderError{header: header, value: value}
 }
 
 // Error returns the header's name and its value.
-func (e *BadCallError) Error() string {
+func (e *HeaderError) Error() string {
 	return fmt.Sprintf("header %s: bad value %q", e.header, e.value)
 }
 
-// Send holds the metadata that the gateway adds to a request for an endpoint.
-type Send struct {
+// ForwardInfo holds the metadata that the gateway adds to a request for an endpoint.
+type ForwardInfo struct {
 	// Endpoint is the ID of the intended endpoint; any other one must reject
 	// the request.
 	Endpoint string
@@ -63,8 +63,8 @@
 	Deadline time.Duration
 }
 
-// Verdict holds the metadata decoded from an endpoint's response.
-type Verdict struct {
+// ResponseInfo holds the metadata decoded from an endpoint's response.
+type ResponseInfo struct {
 	// NotRun is set if the endpoint did not run the request and never will.
 	NotRun bool
 	// Misdirected is set if the address now belongs to another endpoint.
@@ -78,14 +78,14 @@
 
 // Dialect translates between HTTP headers and request metadata.
 type Dialect interface {
-	// Decode returns the metadata in a caller's headers, or a *BadCallError if
+	// Decode returns the metadata in a caller's headers, or a *HeaderError if
 	// they are malformed.
-	Decode(header http.Header) (*Call, error)
+	Decode(header http.Header) (*RequestInfo, error)
 	// Prepare changes a copy of a caller's headers into those for an endpoint.
 	// It removes headers that only the gateway may set.
-	Prepare(header http.Header, send Send)
-	// Verdict returns the metadata of an endpoint's response.
-	Verdict(status int, header http.Header) Verdict
+	Prepare(header http.Header, send ForwardInfo)
+	// ResponseInfo returns the metadata of an endpoint's response.
+	ResponseInfo(status int, header http.Header) ResponseInfo
 	// IDHeader returns the name of the header that carries the request ID in
 	// both requests and responses.
 	IDHeader() string
--- a/gateway/dispatch.go
+++ b/gateway/dispatch.go
@@ -88,7 +88,7 @@
 		return e.failureOutcome(ctx, err)
 	}
 	defer response.Close()
-	verdict := e.Dialect.Verdict(response.Status, response.Header)
+	verdict := e.Dialect.ResponseInfo(response.Status, response.Header)
 	if verdict.Load != nil {
 		choice.ReportLoad(*verdict.Load)
 	}
@@ -140,7 +140,7 @@
 	if e.lastEventID != "" {
 		header.Set(lastEventHeader, e.lastEventID)
 	}
-	e.Dialect.Prepare(header, Send{Endpoint: choice.Endpoint().ID, Organisation: e.organisationName(), Deadline: e.deadline.Sub(e.Clock.Now())})
+	e.Dialect.Prepare(header, ForwardInfo{Endpoint: choice.Endpoint().ID, Organisation: e.organisationName(), Deadline: e.deadline.Sub(e.Clock.Now())})
 	return &upstream.Request{
 		Address: choice.Endpoint().Address, Method: e.r.Method, Target: e.r.RequestURI, Host: e.r.Host, Header: header,
 		Body: e.prompt, HasBody: e.r.ContentLength != 0, IDHeader: e.Dialect.IDHeader(),
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -18,32 +18,32 @@
 )
 
 // Segments holds the dependencies and settings of a Gateway.
-type Parts struct {
+type Config struct {
 	// Instance is this instance's name in the directory of instances.
-	Instance   string
-	DataCentre string
-	Dialect    Dialect
-	Routes     *route.Current
-	Endpoints  *membership.List
-	Picker     *balance.Picker
-	Upstream   *upstream.Client
-	Accounts   *account.Manager
-	Archive    *archive.Archive
-	Durability Durability
+	Instance    string
+	DataCentre  string
+	Dialect     Dialect
+	Routes      *route.Current
+	Endpoints   *membership.List
+	Picker      *balance.Picker
+	Upstream    *upstream.Client
+	Accounts    *account.Manager
+	Archive     *archive.Archive
+	StoreStatus StoreStatus
 	// Quotas limits the request rate of each organisation.
 	Quotas *quota.Limiter
-	// BodyBytes bounds the memory for the bodies and prompts of all requests in
+	// MaxBodyBytes bounds the memory for the bodies and prompts of all requests in
 	// flight, in bytes; 0 means no limit.
-	BodyBytes int64
-	Clock     clock.Clock
-	Log       *slog.Logger
-	Metrics   tally.Scope
+	MaxBodyBytes int64
+	Clock        clock.Clock
+	Log          *slog.Logger
+	Metrics      tally.Scope
 }
 
-// Durability reports the state of the connection to the durable store.
-type Durability interface {
-	// Away reports whether the store is unavailable by every path.
-	Away() bool
+// StoreStatus reports the state of the connection to the durable store.
+type StoreStatus interface {
+	// Unavailable reports whether the store is unavailable by every path.
+	Unavailable() bool
 	// Slow reports whether calls to the store take longer than usual or
 	// currently get no response.
 	Slow() bool
@@ -55,7 +55,7 @@
 // Gateway is an http.Handler that serves callers' requests. It is safe for
 // concurrent use.
 type Gateway struct {
-	Parts
+	Config
 	metrics       metrics
 	serviceQueues *serviceQueues
 	draining      atomic.Bool
@@ -73,8 +73,8 @@
 }
 
 // New returns a Gateway that uses the given parts.
-func New(config Parts) *Gateway {
-	gateway := &Gateway{Parts: config, serviceQueues: newServiceQueues(config.Clock)}
+func New(config Config) *Gateway {
+	gateway := &Gateway{Config: config, serviceQueues: newServiceQueues(config.Clock)}
 	scope := config.Metrics
 	buckets := tally.MustMakeExponentialDurationBuckets(minLatency, latencyFactor, latencyBuckets)
 	gateway.metrics = metrics{
@@ -99,7 +99,7 @@
 // partitioned reports whether neither the store nor any other instance is
 // reachable. Other instances may still be able to serve what this one cannot.
 func (gateway *Gateway) partitioned() bool {
-	return gateway.Durability.Away() && gateway.Durability.Isolated()
+	return gateway.StoreStatus.Unavailable() && gateway.StoreStatus.Isolated()
 }
 
 // Drain makes Ready return false and makes every further response close its
--- a/gateway/gateway_test.go
+++ b/gateway/gateway_test.go
@@ -48,7 +48,7 @@
 	ids  atomic.Int64
 }
 
-// instance is an entry instance of a fixture. It implements gateway.Durability.
+// instance is an entry instance of a fixture. It implements gateway.StoreStatus.
 type instance struct {
 	*gateway.Gateway
 	fixture          *fixture
@@ -62,8 +62,8 @@
 	storeUnavailable atomic.Bool
 }
 
-// Away reports what the test has set.
-func (i *instance) Away() bool { return i.storeUnavailable.Load() }
+// Unavailable reports what the test has set.
+func (i *instance) Unavailable() bool { return i.storeUnavailable.Load() }
 
 // Slow reports the state of the instance's own connection to the store.
 func (i *instance) Slow() bool { return i.guard.Slow() }
@@ -130,8 +130,8 @@
 	guard := store.NewGuard(b.store, func(string, bool, error) {})
 	i := &instance{fixture: b, client: upstream.NewClient(), guard: guard, done: make(chan error, 5)}
 	i.accounts = account.NewManager(guard, fmt.Sprintf("i%d", b.ids.Add(1)), singleInstance{}, singleInstance{}, clk, log, tally.NoopScope)
-	i.Gateway = gateway.New(gateway.Parts{DataCentre: "a", Dialect: platform.Dialect{}, Routes: current, Endpoints: list, Picker: balance.NewPicker(clk), Upstream: i.client,
-		Accounts: i.accounts, Quotas: quota.NewLimiter(singleInstance{}, quota.Tolerance{Window: 5 * time.Second}, clk, log, tally.NoopScope), Archive: archive.New(guard, singleInstance{}, 64<<10, 1<<20, log, tally.NoopScope), Durability: i, Clock: clk, Log: log, Metrics: tally.NoopScope})
+	i.Gateway = gateway.New(gateway.Config{DataCentre: "a", Dialect: platform.Dialect{}, Routes: current, Endpoints: list, Picker: balance.NewPicker(clk), Upstream: i.client,
+		Accounts: i.accounts, Quotas: quota.NewLimiter(singleInstance{}, quota.Tolerance{Window: 5 * time.Second}, clk, log, tally.NoopScope), Archive: archive.New(guard, singleInstance{}, 64<<10, 1<<20, log, tally.NoopScope), StoreStatus: i, Clock: clk, Log: log, Metrics: tally.NoopScope})
 	ctx, cancel := context.WithCancel(context.Background())
 	i.stop = cancel
 	go guard.Run(ctx, i.done)
@@ -673,7 +673,7 @@
 func TestRequestBodyMemoryIsBounded(t *testing.T) {
 	b := newFixture(t)
 	i := b.startInstance()
-	i.BodyBytes = 100_000
+	i.MaxBodyBytes = 100_000
 	b.tool.Pause = 200 * time.Millisecond
 	var served, refused atomic.Int32
 	done := make(chan struct{})
@@ -704,7 +704,7 @@
 }
 
 // Prepare implements gateway.Dialect.
-func (dialect panickingDialect) Prepare(header http.Header, send gateway.Send) {
+func (dialect panickingDialect) Prepare(header http.Header, send gateway.ForwardInfo) {
 	if header.Get(dialect.IDHeader()) == dialect.id {
 		panic("test")
 	}
@@ -716,7 +716,7 @@
 func TestPanicReleasesBodyMemory(t *testing.T) {
 	b := newFixture(t)
 	i := b.startInstance()
-	i.BodyBytes = 50_000
+	i.MaxBodyBytes = 50_000
 	i.Dialect = panickingDialect{id: "panics"}
 	_, _, err := i.send(callerRequest{path: "/post/x", id: "panics", body: strings.Repeat("x", 40_000)})
 	require.Error(t, err)
--- a/gateway/serve.go
+++ b/gateway/serve.go
@@ -87,7 +87,7 @@
 	w http.ResponseWriter
 	r *http.Request
 
-	call  *Call
+	call  *RequestInfo
 	table *route.Table
 	route *route.Route
 	// organisation is the caller's organisation; nil for a caller without a
@@ -302,7 +302,7 @@
 // with all its requests.
 func (e *exchange) reserveMemory(size int64) error {
 	e.memoryUsed += size
-	if e.bodyMemory.Add(size) > e.BodyBytes && e.BodyBytes > 0 {
+	if e.bodyMemory.Add(size) > e.MaxBodyBytes && e.MaxBodyBytes > 0 {
 		return refuse(ReasonNoMemory, http.StatusServiceUnavailable, busyRetryAfter, nil)
 	}
 	return nil
@@ -392,7 +392,7 @@
 // that the turn waits for the store before an engine runs it and not after; the
 // turn needs the store anyway to be kept.
 func (e *exchange) previousInstance() string {
-	if e.reservation == nil || e.Durability.Away() {
+	if e.reservation == nil || e.StoreStatus.Unavailable() {
 		return ""
 	}
 	places := e.reservation.CacheLocations()
--- a/gateway/stream.go
+++ b/gateway/stream.go
@@ -81,7 +81,7 @@
 	if e.reservation != nil && e.reservation.GrantedTokens() < e.call.MaxTokens {
 		return true
 	}
-	return e.route.KeepsHistory && e.Durability.Slow()
+	return e.route.KeepsHistory && e.StoreStatus.Slow()
 }
 
 // ensureBudget returns once the event's tokens are granted to the turn. A turn
