--- a/discovery/follower.go
+++ b/discovery/follower.go
@@ -32,26 +32,26 @@
 // Source describes a table to follow and the callbacks that receive its
 // contents. A Follower calls them one at a time.
 type Source struct {
-	// Table is the name of the table. Only, if not empty, restricts the source
+	// Table is the name of the table. RowName, if not empty, restricts the source
 	// to the row of that name.
-	Table, Only string
-	// Wait is how long the store holds a watch open when nothing changes.
+	Table, RowName string
+	// WatchTimeout is how long the store holds a watch open when nothing changes.
 	// Every call is charged, so a short wait costs calls; with a long one a
 	// change hidden by a silent connection is seen that much later.
-	Wait time.Duration
-	// Gather bounds the delay by which changes in quick succession are batched;
+	WatchTimeout time.Duration
+	// MaxGatherDelay bounds the delay by which changes in quick succession are batched;
 	// 0 disables batching. Where every process follows what every process
 	// writes, the number of calls would otherwise grow with the square of the
 	// number of processes.
-	Gather time.Duration
+	MaxGatherDelay time.Duration
 	// Apply receives one changed row, which may be marked as removed.
 	Apply func(row store.Row)
-	// Whole receives all rows of the table (or the row of interest) and
+	// ReplaceAll receives all rows of the table (or the row of interest) and
 	// replaces what earlier calls delivered.
-	Whole func(rows []store.Row)
-	// Lost is called when the store becomes unavailable, and Back when it is
+	ReplaceAll func(rows []store.Row)
+	// OnUnavailable is called when the store becomes unavailable, and OnAvailable when it is
 	// available again.
-	Lost, Back func()
+	OnUnavailable, OnAvailable func()
 }
 
 // Follower delivers the contents and changes of one table to a Source. Use
@@ -99,7 +99,7 @@
 		if err == nil {
 			if failing {
 				follower.log.Info("store available again; following the table from this version", "version", after, "away", now.Sub(lastSuccess))
-				follower.source.Back()
+				follower.source.OnAvailable()
 			}
 			failing, lastSuccess = false, now
 			backoff = retry.Backoff{Initial: initialBackoff, Max: maxBackoff}
@@ -117,7 +117,7 @@
 		if !failing {
 			follower.lost.Inc(1)
 			follower.log.Warn("store unavailable; continuing with the last state read and retrying", "version", after, "err", err)
-			follower.source.Lost()
+			follower.source.OnUnavailable()
 		}
 		failing = true
 		follower.stale.Update(now.Sub(lastSuccess).Seconds())
@@ -131,8 +131,8 @@
 func (follower *Follower) readAll(ctx context.Context) (uint64, error) {
 	var rows []store.Row
 	r := store.Range{Table: follower.source.Table}
-	if follower.source.Only != "" {
-		r.From, r.To = follower.source.Only, follower.source.Only+"!"
+	if follower.source.RowName != "" {
+		r.From, r.To = follower.source.RowName, follower.source.RowName+"!"
 	}
 	var version uint64
 	for {
@@ -151,19 +151,19 @@
 		}
 		r.From = page.Rows[len(page.Rows)-1].Key.Name + " "
 	}
-	follower.source.Whole(rows)
+	follower.source.ReplaceAll(rows)
 	return version, nil
 }
 
 // applyChanges waits for changes after a version, applies them and returns the
 // version to continue from.
 func (follower *Follower) applyChanges(ctx context.Context, after uint64) (uint64, error) {
-	page, err := follower.store.Watch(ctx, follower.source.Table, after, follower.source.Wait)
+	page, err := follower.store.Watch(ctx, follower.source.Table, after, follower.source.WatchTimeout)
 	if err != nil {
 		return after, err
 	}
 	for _, row := range page.Rows {
-		if follower.source.Only == "" || row.Key.Name == follower.source.Only {
+		if follower.source.RowName == "" || row.Key.Name == follower.source.RowName {
 			follower.source.Apply(row)
 		}
 	}
@@ -176,13 +176,13 @@
 // delay, while many in a row are read together.
 func (follower *Follower) gather(ctx context.Context, changed bool) {
 	now := follower.clock.Now()
-	if !changed || follower.source.Gather == 0 || now.Sub(follower.gatheredAt) >= follower.source.Gather {
+	if !changed || follower.source.MaxGatherDelay == 0 || now.Sub(follower.gatheredAt) >= follower.source.MaxGatherDelay {
 		follower.gatherDelay = 0
 	}
-	if !changed || follower.source.Gather == 0 {
+	if !changed || follower.source.MaxGatherDelay == 0 {
 		return
 	}
-	follower.gatherDelay = min(max(2*follower.gatherDelay, initialGatherDelay), follower.source.Gather)
+	follower.gatherDelay = min(max(2*follower.gatherDelay, initialGatherDelay), follower.source.MaxGatherDelay)
 	clock.Sleep(ctx, follower.gatherDelay) // the loop of Run checks ctx
 	follower.gatheredAt = follower.clock.Now()
 }
@@ -206,7 +206,7 @@
 			log.Info("configuration in force", "version", table.Version(), "row_version", row.Version, "routes", table.Routes())
 		}
 	}
-	return Source{Table: key.Table, Only: key.Name, Wait: promptWatchWait, Apply: apply, Lost: func() {}, Back: func() {}, Whole: func(rows []store.Row) {
+	return Source{Table: key.Table, RowName: key.Name, WatchTimeout: promptWatchWait, Apply: apply, OnUnavailable: func() {}, OnAvailable: func() {}, ReplaceAll: func(rows []store.Row) {
 		for _, row := range rows {
 			if row.Key.Name == key.Name {
 				apply(row)
@@ -234,10 +234,10 @@
 		onRestart(endpoint)
 	}
 	return Source{
-		Table: table,
-		Wait:  promptWatchWait,
-		Lost:  list.StoreUnavailable,
-		Back:  func() { list.StoreAvailable(clk.Now()) },
+		Table:         table,
+		WatchTimeout:  promptWatchWait,
+		OnUnavailable: list.StoreUnavailable,
+		OnAvailable:   func() { list.StoreAvailable(clk.Now()) },
 		Apply: func(row store.Row) {
 			if row.Removed {
 				log.Info("endpoint removed from the list", "endpoint", row.Key.Name, "row_version", row.Version)
@@ -250,7 +250,7 @@
 				notifyRestart(endpoint)
 			}
 		},
-		Whole: func(rows []store.Row) {
+		ReplaceAll: func(rows []store.Row) {
 			all := make([]*membership.Endpoint, 0, len(rows))
 			for _, row := range rows {
 				all = append(all, decodeEntry(row))
--- a/discovery/follower_test.go
+++ b/discovery/follower_test.go
@@ -28,7 +28,7 @@
 }
 
 func (v *view) source() discovery.Source {
-	return discovery.Source{Table: "t", Wait: 200 * time.Millisecond,
+	return discovery.Source{Table: "t", WatchTimeout: 200 * time.Millisecond,
 		Apply: func(row store.Row) {
 			v.mu.Lock()
 			defer v.mu.Unlock()
@@ -38,7 +38,7 @@
 			}
 			v.rows[row.Key.Name] = string(row.Value)
 		},
-		Whole: func(rows []store.Row) {
+		ReplaceAll: func(rows []store.Row) {
 			v.mu.Lock()
 			defer v.mu.Unlock()
 			v.rows = map[string]string{}
@@ -46,7 +46,7 @@
 				v.rows[row.Key.Name] = string(row.Value)
 			}
 		},
-		Lost: func() { v.lost++ }, Back: func() { v.back++ }}
+		OnUnavailable: func() { v.lost++ }, OnAvailable: func() { v.back++ }}
 }
 
 func (v *view) get(name string) string {
@@ -116,7 +116,7 @@
 	})
 	v := &view{}
 	source := v.source()
-	source.Wait, source.Gather = 5*time.Second, 300*time.Millisecond
+	source.WatchTimeout, source.MaxGatherDelay = 5*time.Second, 300*time.Millisecond
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan error, 1)
 	go discovery.NewFollower(memory, source, clock.Real{}, slog.New(slog.NewTextHandler(io.Discard, nil)), tally.NoopScope).Run(ctx, done)
@@ -126,7 +126,7 @@
 		time.Sleep(time.Millisecond)
 	}
 	assert.Eventually(t, func() bool { return v.get("0") == "x" && v.get(strconv.Itoa(entries-1)) == "x" }, 2*time.Second, 5*time.Millisecond)
-	time.Sleep(source.Gather)
+	time.Sleep(source.MaxGatherDelay)
 	put(t, memory, "alone", "y")
 	assert.Eventually(t, func() bool { return v.get("alone") == "y" }, 100*time.Millisecond, time.Millisecond)
 	cancel()
--- a/entrypeer/directory.go
+++ b/entrypeer/directory.go
@@ -158,7 +158,7 @@
 
 // Source returns the discovery source that applies the table to the directory.
 func (directory *Directory) Source(log *slog.Logger) discovery.Source {
-	return discovery.Source{Table: table, Wait: watchWait, Gather: maxGatherDelay, Lost: func() {}, Back: func() {}, Apply: func(row store.Row) { directory.apply(row, log) }, Whole: func(rows []store.Row) {
+	return discovery.Source{Table: table, WatchTimeout: watchWait, MaxGatherDelay: maxGatherDelay, OnUnavailable: func() {}, OnAvailable: func() {}, Apply: func(row store.Row) { directory.apply(row, log) }, ReplaceAll: func(rows []store.Row) {
 		directory.mu.Lock()
 		clear(directory.instances)
 		directory.mu.Unlock()
