--- a/cmd/wagtaildrum/front.go
+++ b/cmd/wagtaildrum/front.go
@@ -184,7 +184,7 @@
 }
 
 // dropConnections closes the idle connections to an endpoint that was restarted.
-func (f *front) dropConnections(endpoint *membership.Endpoint) { f.client.Drop(endpoint.Address) }
+func (f *front) dropConnections(endpoint *membership.Endpoint) { f.client.CloseIdle(endpoint.Address) }
 
 // durability implements gateway.StoreStatus.
 type storeStatus struct {
@@ -296,7 +296,7 @@
 		for _, id := range f.list.Expire(now) {
 			f.process.log.Info("endpoint dropped: it did not register again after the store recovered", "endpoint", id)
 		}
-		f.client.Trim()
+		f.client.CloseExpired()
 		f.picker.Retain(f.list.HasIncarnation)
 	}, done)
 }
--- a/gateway/gateway_test.go
+++ b/gateway/gateway_test.go
@@ -140,7 +140,7 @@
 	require.NoError(b.t, err)
 	i.address = listener.Addr().String()
 	go discovery.NewFollower(guard, discovery.Configuration(platform.ConfigurationKey, platform.DecodeConfiguration, current, log), clk, log, tally.NoopScope).Run(ctx, i.done)
-	go discovery.NewFollower(guard, discovery.Endpoints(platform.EndpointTable, platform.DecodeEndpoint, list, func(endpoint *membership.Endpoint) { i.client.Drop(endpoint.Address) }, clk, log), clk, log, tally.NoopScope).Run(ctx, i.done)
+	go discovery.NewFollower(guard, discovery.Endpoints(platform.EndpointTable, platform.DecodeEndpoint, list, func(endpoint *membership.Endpoint) { i.client.CloseIdle(endpoint.Address) }, clk, log), clk, log, tally.NoopScope).Run(ctx, i.done)
 	go gateway.NewServer(i.Gateway, log).Serve(ctx, listener, 5*time.Second, i.done)
 	b.t.Cleanup(cancel)
 	require.Eventually(b.t, i.Ready, 2*time.Second, 5*time.Millisecond)
--- a/upstream/client.go
+++ b/upstream/client.go
@@ -109,8 +109,8 @@
 	return &Client{idle: map[string][]*conn{}, dialer: tcp.NewDialer(connectTimeout, unackedTimeout)}
 }
 
-// Opened returns the number of connections opened so far.
-func (client *Client) Opened() int64 { return client.opened.Load() }
+// ConnectionsOpened returns the number of connections opened so far.
+func (client *Client) ConnectionsOpened() int64 { return client.opened.Load() }
 
 // Do sends request and returns the response once its head has been read. When
 // ctx ends before Close is called, the connection is closed and reading the
@@ -301,10 +301,10 @@
 	client.idle[c.address] = append(client.idle[c.address], c)
 }
 
-// Drop closes the idle connections to address, for an endpoint whose process
+// CloseIdle closes the idle connections to address, for an endpoint whose process
 // has terminated. If it is partitioned as well, the connections stay silent,
 // and each would cost a request unackedTimeout.
-func (client *Client) Drop(address string) {
+func (client *Client) CloseIdle(address string) {
 	client.mu.Lock()
 	defer client.mu.Unlock()
 	for _, c := range client.idle[address] {
@@ -313,8 +313,8 @@
 	delete(client.idle, address)
 }
 
-// Trim closes the idle connections that have expired.
-func (client *Client) Trim() {
+// CloseExpired closes the idle connections that have expired.
+func (client *Client) CloseExpired() {
 	now := time.Now()
 	client.mu.Lock()
 	defer client.mu.Unlock()
--- a/upstream/client_test.go
+++ b/upstream/client_test.go
@@ -98,7 +98,7 @@
 		body, _, err := do(t, client, request(address, "r", "x"))
 		require.NoError(t, err)
 		assert.Equal(t, "1 /a?b=c%20d x", body, "the first connection is reused")
-		assert.EqualValues(t, 1, client.Opened())
+		assert.EqualValues(t, 1, client.ConnectionsOpened())
 	}
 }
 
@@ -280,7 +280,7 @@
 	client := upstream.NewClient()
 	_, _, err := do(t, client, request(address, "r", "x"))
 	require.NoError(t, err)
-	client.Drop(address)
+	client.CloseIdle(address)
 	body, _, err := do(t, client, request(address, "r", "x"))
 	require.NoError(t, err)
 	assert.Equal(t, "2", body, "a new connection is used")
