--- a/account/escrow_test.go
+++ b/account/escrow_test.go
@@ -819,7 +819,7 @@
 		totals[i] = int64(400 + rng.IntN(4000))
 	}
 	storeFaultShare := rng.Float64() * 0.4
-	flaky := storetest.Random(rng, storeFaultShare, storetest.Refuse, storetest.LoseAnswer, storetest.LoseCall)
+	flaky := storetest.RandomFaults(rng, storeFaultShare, storetest.Refuse, storetest.LoseResponse, storetest.LoseRequest)
 	callFaultShare := rng.Float64() * 0.3
 	start := func(name string) {
 		m := cluster.start(name)
@@ -901,7 +901,7 @@
 				m.SweepOnce(ctx)
 			}
 		case draw == 18:
-			memory.ApplyLate()
+			memory.ApplyLost()
 		case draw == 19:
 			faults := []func(string, string) storetest.Fault{storeServes, storeServes, flaky, storeRefuses}
 			memory.SetFault(faults[rng.IntN(len(faults))])
--- a/account/loan_test.go
+++ b/account/loan_test.go
@@ -221,7 +221,7 @@
 	for seed := range uint64(40) {
 		rng := rand.New(rand.NewPCG(seed, 11))
 		memory := storetest.New()
-		memory.SetFault(storetest.Random(rng, 0.3, storetest.Refuse, storetest.LoseAnswer, storetest.LoseCall))
+		memory.SetFault(storetest.RandomFaults(rng, 0.3, storetest.Refuse, storetest.LoseResponse, storetest.LoseRequest))
 		var mu sync.Mutex
 		between := rand.New(rand.NewPCG(seed, 12))
 		l := newLendingFleet(t, memory, clock.Real{}, 4, func() bool {
@@ -250,7 +250,7 @@
 						generated.Add(maxTokens) // crashes after it spent all
 					}
 					if draw.IntN(5) == 0 {
-						memory.ApplyLate()
+						memory.ApplyLost()
 					}
 				}
 			})
--- a/account/manager_test.go
+++ b/account/manager_test.go
@@ -184,7 +184,7 @@
 	for seed := range uint64(40) {
 		rng := rand.New(rand.NewPCG(seed, 7))
 		memory := storetest.New()
-		memory.SetFault(storetest.Random(rng, 0.3, storetest.Refuse, storetest.LoseAnswer, storetest.LoseCall))
+		memory.SetFault(storetest.RandomFaults(rng, 0.3, storetest.Refuse, storetest.LoseResponse, storetest.LoseRequest))
 		f := newFleet(memory, clock.Real{}, 4)
 		const total = 5000
 		var generated, served atomic.Int64
@@ -207,7 +207,7 @@
 						generated.Add(maxTokens - spent)
 					}
 					if draw.IntN(5) == 0 {
-						memory.ApplyLate()
+						memory.ApplyLost()
 					}
 				}
 			})
--- a/account/remainder_test.go
+++ b/account/remainder_test.go
@@ -172,7 +172,7 @@
 	require.Less(t, turn.GrantedTokens(), int64(maxTokens))
 	memory.SetFault(func(op, _ string) storetest.Fault {
 		if op == "commit" {
-			return storetest.LoseAnswer
+			return storetest.LoseResponse
 		}
 		return storetest.None
 	})
@@ -314,7 +314,7 @@
 // Guards against unreleased budget: an instance's grant is in the store, but
 // the response to its write was lost.
 func TestUnansweredGrantIsReleased(t *testing.T) {
-	for _, lost := range []storetest.Fault{storetest.LoseAnswer, storetest.LoseCall} {
+	for _, lost := range []storetest.Fault{storetest.LoseResponse, storetest.LoseRequest} {
 		for _, stops := range []bool{false, true} {
 			ctx := context.Background()
 			memory := storetest.New()
@@ -325,13 +325,13 @@
 			memory.SetFault(storeServes)
 			if stops {
 				require.NoError(t, f.managers[0].Stop(ctx))
-				memory.ApplyLate()
+				memory.ApplyLost()
 				f.unreachable.Store(true)
 			}
 			turn, err := f.managers[1].Reserve(ctx, "p", 567, 1134)
 			require.NoError(t, err, "response or call lost by fault %v, stops %v", lost, stops)
 			turn.Settle(567)
-			memory.ApplyLate()
+			memory.ApplyLost()
 			turn, err = f.managers[1].Reserve(ctx, "p", 567, 1134)
 			require.NoError(t, err, "response or call lost by fault %v, stops %v", lost, stops)
 			turn.Settle(567)
--- a/archive/archive_test.go
+++ b/archive/archive_test.go
@@ -204,7 +204,7 @@
 func TestTurnsAreLinearizable(t *testing.T) {
 	for seed := range uint64(10) {
 		memory := storetest.New()
-		memory.SetFault(storetest.Random(rand.New(rand.NewPCG(seed, 3)), 0.3, storetest.Refuse, storetest.LoseAnswer, storetest.LoseCall))
+		memory.SetFault(storetest.RandomFaults(rand.New(rand.NewPCG(seed, 3)), 0.3, storetest.Refuse, storetest.LoseResponse, storetest.LoseRequest))
 		var mu sync.Mutex
 		var ops []porcupine.Operation
 		started := time.Now()
--- a/cmd/wagtaildrum/front.go
+++ b/cmd/wagtaildrum/front.go
@@ -147,7 +147,7 @@
 func newFront(p *process, s *platform.Settings) *front {
 	scope, clk := p.metrics.Scope(), clock.Real{}
 	owner := entrypeer.NewOwner(s.Instance, clk.Now())
-	directStore := store.NewGuard(store.NewPersistent(platform.NewStore(s.Store), clk), func(partition string, unavailable bool, err error) {
+	directStore := store.NewGuard(store.NewHedged(platform.NewStore(s.Store), clk), func(partition string, unavailable bool, err error) {
 		p.log.Info("availability of the store by the direct connection changed", "partition", partition, "away", unavailable, "err", err)
 	})
 	directory := entrypeer.NewDirectory(entrypeer.Instance{Name: s.Instance, Owner: owner, Address: s.Peer, DataCentre: s.DataCentre}, clk)
@@ -194,7 +194,7 @@
 
 // Unavailable implements gateway.StoreStatus. It reports whether the store is unavailable
 // by every route.
-func (d storeStatus) Unavailable() bool { return d.store.WholeAway() }
+func (d storeStatus) Unavailable() bool { return d.store.AllUnavailable() }
 
 // Slow implements gateway.StoreStatus. It reports whether the store responds more
 // slowly than usual, or not at all at the moment.
--- a/entrypeer/relay.go
+++ b/entrypeer/relay.go
@@ -38,7 +38,7 @@
 func (relay *Relay) Commit(ctx context.Context, tx store.Transaction) (uint64, error) {
 	startedAt := time.Now()
 	version, err := relay.direct.Commit(ctx, tx)
-	if !store.Unserved(err) || relay.direct.AnsweredSince(startedAt) {
+	if !store.Unserved(err) || relay.direct.RespondedSince(startedAt) {
 		return version, err
 	}
 	response, err := relay.viaPeers(ctx, &storeRequest{Commit: &tx}, relayTimeout, err)
@@ -49,7 +49,7 @@
 func (relay *Relay) Read(ctx context.Context, r store.Range) (store.Page, error) {
 	startedAt := time.Now()
 	page, err := relay.direct.Read(ctx, r)
-	if !store.Unserved(err) || relay.direct.AnsweredSince(startedAt) {
+	if !store.Unserved(err) || relay.direct.RespondedSince(startedAt) {
 		return page, err
 	}
 	response, err := relay.viaPeers(ctx, &storeRequest{Read: &r}, relayTimeout, err)
@@ -60,7 +60,7 @@
 // goes to other instances at once.
 func (relay *Relay) Watch(ctx context.Context, table string, after uint64, wait time.Duration) (store.Page, error) {
 	err := error(store.NewError(store.FailureRefused, "watch", "store unavailable on the direct connection"))
-	if !relay.direct.Away("") {
+	if !relay.direct.Unavailable("") {
 		var page store.Page
 		if page, err = relay.direct.Watch(ctx, table, after, wait); !store.Unserved(err) {
 			return page, err
--- a/gateway/outage_test.go
+++ b/gateway/outage_test.go
@@ -108,7 +108,7 @@
 func TestCompleteResponseSurvivesStoreOutage(t *testing.T) {
 	b := newFixture(t)
 	hanging := &hangingStore{Store: b.memory}
-	b.store = store.NewPersistent(hanging, clock.Real{})
+	b.store = store.NewHedged(hanging, clock.Real{})
 	i := b.startInstance()
 	require.NoError(t, i.accounts.AcquireOnce(context.Background(), singleInstance{}, false))
 	hanging.hanging.Store(true)
--- a/soak/fault_test.go
+++ b/soak/fault_test.go
@@ -76,10 +76,10 @@
 		}
 	}},
 	{name: "store loses answers", inject: func(s *site, _ *front, draw uint64, d time.Duration) {
-		s.memory.SetFault(storetest.Random(rand.New(rand.NewPCG(draw, 3)), 0.3, storetest.LoseAnswer, storetest.LoseCall))
+		s.memory.SetFault(storetest.RandomFaults(rand.New(rand.NewPCG(draw, 3)), 0.3, storetest.LoseResponse, storetest.LoseRequest))
 		time.Sleep(d)
 		s.memory.SetFault(func(string, string) storetest.Fault { return storetest.None })
-		s.memory.ApplyLate()
+		s.memory.ApplyLost()
 	}},
 	{name: "store forgets its history", inject: func(s *site, _ *front, _ uint64, _ time.Duration) { s.memory.Compact() }},
 	{name: "way to the store", inject: func(_ *site, f *front, draw uint64, d time.Duration) { f.proxy.disturb(draw, d) }},
--- a/soak/site_test.go
+++ b/soak/site_test.go
@@ -239,7 +239,7 @@
 func (s *site) heal() {
 	s.fail(0)
 	s.memory.SetFault(func(string, string) storetest.Fault { return storetest.None })
-	s.memory.ApplyLate()
+	s.memory.ApplyLost()
 	for _, f := range s.fronts {
 		f.door.Set(platformtest.Open)
 		f.door.Delay(0)
--- a/soak/soak_test.go
+++ b/soak/soak_test.go
@@ -83,7 +83,7 @@
 		s.checkOrganisations(b, seed)
 	}
 	// A write that was lost may come late; what it does must harm nobody.
-	s.memory.ApplyLate()
+	s.memory.ApplyLost()
 	for _, broken := range b.broken(s.runsByID(), planned) {
 		t.Error(broken)
 	}
--- a/store/guard.go
+++ b/store/guard.go
@@ -97,29 +97,29 @@
 	return &Guard{store: s, onChange: onChange, partitions: map[string]*health{}, watchCancels: map[uint64]context.CancelFunc{}}
 }
 
-// Away reports whether a partition, or the complete store, is unavailable.
-func (guard *Guard) Away(partition string) bool {
+// Unavailable reports whether a partition, or the complete store, is unavailable.
+func (guard *Guard) Unavailable(partition string) bool {
 	guard.mu.Lock()
 	defer guard.mu.Unlock()
 	return guard.health(partition).failures >= partitionFailureThreshold || guard.overall.failures >= storeFailureThreshold
 }
 
-// WholeAway reports whether the complete store is unavailable.
-func (guard *Guard) WholeAway() bool {
+// AllUnavailable reports whether the complete store is unavailable.
+func (guard *Guard) AllUnavailable() bool {
 	guard.mu.Lock()
 	defer guard.mu.Unlock()
 	return guard.overall.failures >= storeFailureThreshold
 }
 
-// AnsweredSince reports whether the store responded to any call after t.
-func (guard *Guard) AnsweredSince(t time.Time) bool {
+// RespondedSince reports whether the store responded to any call after t.
+func (guard *Guard) RespondedSince(t time.Time) bool {
 	guard.mu.Lock()
 	defer guard.mu.Unlock()
 	return guard.lastResponse.After(t)
 }
 
 // Slow reports whether calls take longer than usual or currently receive no
-// response. It detects an outage much earlier than Away, and also detects a
+// response. It detects an outage much earlier than Unavailable, and also detects a
 // store that is slow but available.
 func (guard *Guard) Slow() bool {
 	guard.mu.Lock()
@@ -252,7 +252,7 @@
 	var lastProbe time.Time
 	ended := make(chan error, 1)
 	clock.Every(ctx, probeInterval, func(now time.Time) {
-		isEarly := !guard.WholeAway() || now.Sub(lastProbe) < overlappingProbeInterval
+		isEarly := !guard.AllUnavailable() || now.Sub(lastProbe) < overlappingProbeInterval
 		if len(guard.probeTargets()) == 0 || pending.Load() > 0 && isEarly {
 			return
 		}
--- a/store/guard_test.go
+++ b/store/guard_test.go
@@ -43,14 +43,14 @@
 		require.NoError(t, err)
 	}
 	assert.Equal(t, 3, calls, "calls until the partition counts as unavailable")
-	assert.True(t, guard.Away("p1"))
-	assert.False(t, guard.Away("p2"))
+	assert.True(t, guard.Unavailable("p1"))
+	assert.False(t, guard.Unavailable("p2"))
 	guard.Probe(ctx)
 	assert.Equal(t, 4, calls)
-	assert.True(t, guard.Away("p1"))
+	assert.True(t, guard.Unavailable("p1"))
 	memory.SetFault(func(string, string) storetest.Fault { return storetest.None })
 	guard.Probe(ctx)
-	assert.False(t, guard.Away("p1"))
+	assert.False(t, guard.Unavailable("p1"))
 	_, err := guard.Commit(ctx, putIn("p1"))
 	require.NoError(t, err)
 }
@@ -68,18 +68,18 @@
 	for _, partition := range []string{"a", "b", "c", "d", "e", "f", "g"} {
 		_, _ = guard.Commit(ctx, putIn(partition)) // refused
 	}
-	assert.True(t, guard.WholeAway())
-	assert.True(t, guard.Away("never called"))
+	assert.True(t, guard.AllUnavailable())
+	assert.True(t, guard.Unavailable("never called"))
 	assert.Equal(t, []string{"all"}, reported)
 	cancelled, cancel := context.WithCancel(ctx)
 	cancel()
 	memory.SetFault(func(string, string) storetest.Fault { return storetest.None })
 	second := store.NewGuard(memory, func(string, bool, error) {})
-	memory.SetFault(func(string, string) storetest.Fault { return storetest.LoseAnswer })
+	memory.SetFault(func(string, string) storetest.Fault { return storetest.LoseResponse })
 	for range 10 {
 		_, _ = second.Commit(cancelled, putIn("a")) // cancelled by its caller
 	}
-	assert.False(t, second.WholeAway(), "calls cancelled by their caller are ignored")
+	assert.False(t, second.AllUnavailable(), "calls cancelled by their caller are ignored")
 }
 
 // Guards against a silent partition that never counts as unavailable because
@@ -103,8 +103,8 @@
 					_, err := guard.Commit(ctx, putIn("a"))
 					require.Error(t, err)
 				}
-				assert.Equal(t, test.unavailable, guard.Away("a"))
-				assert.False(t, guard.WholeAway(), "one partition doesn't count for the others")
+				assert.Equal(t, test.unavailable, guard.Unavailable("a"))
+				assert.False(t, guard.AllUnavailable(), "one partition doesn't count for the others")
 			})
 		})
 	}
@@ -121,8 +121,8 @@
 			_, err := guard.Watch(ctx, "t", 0, time.Minute)
 			require.Error(t, err)
 		}
-		assert.False(t, guard.Away(""))
-		assert.False(t, guard.WholeAway())
+		assert.False(t, guard.Unavailable(""))
+		assert.False(t, guard.AllUnavailable())
 	})
 }
 
@@ -140,7 +140,7 @@
 			_, _ = guard.Commit(ctx, putIn(partition)) // refused
 		}
 	}
-	require.True(t, guard.WholeAway())
+	require.True(t, guard.AllUnavailable())
 	memory.SetFault(func(string, string) storetest.Fault { return storetest.None })
 	guard.Probe(ctx)
 	for _, partition := range []string{"a", "b", "c"} {
@@ -171,9 +171,9 @@
 	for range 20 {
 		guard.Probe(ctx)
 	}
-	assert.True(t, guard.Away("a"))
-	assert.True(t, guard.Away("b"))
-	assert.False(t, guard.WholeAway())
+	assert.True(t, guard.Unavailable("a"))
+	assert.True(t, guard.Unavailable("b"))
+	assert.False(t, guard.AllUnavailable())
 }
 
 // Guards against an instance that notices an outage only seconds after it and
@@ -240,7 +240,7 @@
 // timeout.
 func TestHedgedRepeatsCallAfterLostResponse(t *testing.T) {
 	slow := &slowStore{Store: storetest.New(), lose: 1}
-	hedged := store.NewPersistent(slow, clock.Real{})
+	hedged := store.NewHedged(slow, clock.Real{})
 	key := store.Key{Table: "t", Name: "a"}
 	started := time.Now()
 	_, err := hedged.Commit(context.Background(), store.Transaction{Conditions: []store.Condition{{Key: key}}, Puts: []store.Put{{Key: key, Value: []byte("v")}}})
@@ -253,7 +253,7 @@
 // succeed, and that after a few calls they are no longer repeated.
 func TestHedgedAdaptsToSlowStore(t *testing.T) {
 	slow := &slowStore{Store: storetest.New(), latency: 150 * time.Millisecond}
-	hedged := store.NewPersistent(slow, clock.Real{})
+	hedged := store.NewHedged(slow, clock.Real{})
 	for range 10 {
 		_, err := hedged.Commit(context.Background(), putIn("a"))
 		require.NoError(t, err)
@@ -270,7 +270,7 @@
 func TestGuardKeepsSlowStoreAvailable(t *testing.T) {
 	for _, latency := range []time.Duration{250 * time.Millisecond, 500 * time.Millisecond} {
 		slow := &slowStore{Store: storetest.New(), latency: latency}
-		guard := store.NewGuard(store.NewPersistent(slow, clock.Real{}), func(string, bool, error) {})
+		guard := store.NewGuard(store.NewHedged(slow, clock.Real{}), func(string, bool, error) {})
 		for n := range 8 {
 			_, err := guard.Commit(context.Background(), putIn("a"))
 			require.NoError(t, err, "%v, call %d", latency, n)
@@ -316,7 +316,7 @@
 				assert.True(t, store.Unserved(err))
 				stop()
 			}
-			require.True(t, guard.WholeAway())
+			require.True(t, guard.AllUnavailable())
 			time.Sleep(time.Until(s.recoversAt.Add(3 * time.Second)))
 			cancel()
 			require.NoError(t, <-done)
@@ -341,7 +341,7 @@
 			assert.True(t, store.Unserved(err))
 			stop()
 		}
-		require.True(t, guard.Away("a"))
+		require.True(t, guard.Unavailable("a"))
 		before := s.reads.Load()
 		time.Sleep(5 * time.Second)
 		assert.LessOrEqual(t, s.reads.Load()-before, int32(5))
@@ -388,7 +388,7 @@
 	for _, latency := range []time.Duration{200 * time.Millisecond, 240 * time.Millisecond} {
 		synctest.Test(t, func(t *testing.T) {
 			slow := &slowStore{Store: storetest.New(), latency: 4 * time.Millisecond}
-			hedged := store.NewPersistent(slow, clock.Real{})
+			hedged := store.NewHedged(slow, clock.Real{})
 			commit := func() {
 				_, err := hedged.Commit(context.Background(), putIn("a"))
 				assert.NoError(t, err)
@@ -415,7 +415,7 @@
 func TestHedgedDetectsLossFromLaterResponses(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		slow := &slowStore{Store: storetest.New(), latency: 4 * time.Millisecond, lose: 1}
-		hedged := store.NewPersistent(slow, clock.Real{})
+		hedged := store.NewHedged(slow, clock.Real{})
 		started := time.Now()
 		var calls sync.WaitGroup
 		calls.Go(func() {
@@ -437,7 +437,7 @@
 func TestHedgedRepeatsSoonerAfterLosses(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		slow := &slowStore{Store: storetest.New(), latency: 4 * time.Millisecond}
-		hedged := store.NewPersistent(slow, clock.Real{})
+		hedged := store.NewHedged(slow, clock.Real{})
 		var maxLatency time.Duration
 		for n := range 20 {
 			if n%3 == 0 {
@@ -462,7 +462,7 @@
 func TestHedgedExtendsTimeoutOfPendingCall(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		slow := &slowStore{Store: storetest.New(), latency: 300 * time.Millisecond}
-		hedged := store.NewPersistent(slow, clock.Real{})
+		hedged := store.NewHedged(slow, clock.Real{})
 		var calls sync.WaitGroup
 		commit := func(partition string) {
 			_, err := hedged.Commit(context.Background(), putIn(partition))
@@ -484,7 +484,7 @@
 // then executed twice: a slow store responds in up to 1.25 s.
 func TestHedgedWaitsForBusyPartition(t *testing.T) {
 	slow := &slowStore{Store: storetest.New(), latency: 950 * time.Millisecond}
-	hedged := store.NewPersistent(slow, clock.Real{})
+	hedged := store.NewHedged(slow, clock.Real{})
 	for range 6 {
 		_, _ = hedged.Commit(context.Background(), putIn("a")) // the first times out
 	}
@@ -500,7 +500,7 @@
 // 0.6 s and later ones 1 s, until the store counts as unavailable.
 func TestHedgedTimesOutOnSilentStore(t *testing.T) {
 	slow := &slowStore{Store: storetest.New(), lose: 1000}
-	guard := store.NewGuard(store.NewPersistent(slow, clock.Real{}), func(string, bool, error) {})
+	guard := store.NewGuard(store.NewHedged(slow, clock.Real{}), func(string, bool, error) {})
 	started := time.Now()
 	for range 10 {
 		_, err := guard.Commit(context.Background(), putIn("a"))
--- a/store/hedged.go
+++ b/store/hedged.go
@@ -40,14 +40,14 @@
 	slowLatencyWeight = 0.5
 )
 
-// Persistent is a Store that hedges Commit and Read: it repeats a call in
+// Hedged is a Store that hedges Commit and Read: it repeats a call in
 // parallel if no response arrives within a multiple of the typical latency.
 // Otherwise a lost response or a stale connection would cost the caller a long
 // timeout. The first attempt stays pending, because the store may only be slow.
 // If a transaction was applied but its response was lost, the conditions of the
 // repeat fail; a caller that makes conditional writes must treat a conflict with
 // its own write as success.
-type Persistent struct {
+type Hedged struct {
 	store Store
 	clock clock.Clock
 
@@ -61,22 +61,22 @@
 	lastLoss time.Time
 }
 
-// NewPersistent returns a Store that hedges the calls to s.
-func NewPersistent(s Store, clk clock.Clock) *Persistent { return &Persistent{store: s, clock: clk} }
+// NewHedged returns a Store that hedges the calls to s.
+func NewHedged(s Store, clk clock.Clock) *Hedged { return &Hedged{store: s, clock: clk} }
 
 // Commit implements Store.
-func (hedged *Persistent) Commit(ctx context.Context, tx Transaction) (uint64, error) {
+func (hedged *Hedged) Commit(ctx context.Context, tx Transaction) (uint64, error) {
 	return hedge(ctx, hedged, func(ctx context.Context) (uint64, error) { return hedged.store.Commit(ctx, tx) })
 }
 
 // Read implements Store.
-func (hedged *Persistent) Read(ctx context.Context, r Range) (Page, error) {
+func (hedged *Hedged) Read(ctx context.Context, r Range) (Page, error) {
 	return hedge(ctx, hedged, func(ctx context.Context) (Page, error) { return hedged.store.Read(ctx, r) })
 }
 
 // Watch implements Store. It makes a single attempt, because callers repeat
 // watches.
-func (hedged *Persistent) Watch(ctx context.Context, table string, after uint64, wait time.Duration) (Page, error) {
+func (hedged *Hedged) Watch(ctx context.Context, table string, after uint64, wait time.Duration) (Page, error) {
 	return hedged.store.Watch(ctx, table, after, wait)
 }
 
@@ -91,7 +91,7 @@
 // attempts have failed, the timeout passes or ctx ends. It returns the first
 // served result; a failure of an unanswered attempt takes precedence over a
 // rejection.
-func hedge[T any](ctx context.Context, hedged *Persistent, call func(context.Context) (T, error)) (T, error) {
+func hedge[T any](ctx context.Context, hedged *Hedged, call func(context.Context) (T, error)) (T, error) {
 	ctx, cancel := context.WithTimeout(ctx, maxTimeout)
 	defer cancel()
 	outcomes := make(chan outcome[T])
@@ -151,7 +151,7 @@
 
 // hedgeDelay returns how long to wait for the attempt started at lastStart
 // before repeating the call, given the responses received since.
-func (hedged *Persistent) hedgeDelay(lastStart time.Time) time.Duration {
+func (hedged *Hedged) hedgeDelay(lastStart time.Time) time.Duration {
 	hedged.mu.Lock()
 	defer hedged.mu.Unlock()
 	if hedged.lastServedStart.After(lastStart) || hedged.clock.Now().Sub(hedged.lastLoss) < lossWindow {
@@ -161,7 +161,7 @@
 }
 
 // timeout returns the total time allowed for a call that starts now.
-func (hedged *Persistent) timeout() time.Duration {
+func (hedged *Hedged) timeout() time.Duration {
 	hedged.mu.Lock()
 	defer hedged.mu.Unlock()
 	return min(max(latencyFactor*hedged.typicalLatency, minTimeout), maxTimeout)
@@ -170,7 +170,7 @@
 // extendedTimeout returns the total time allowed for a call that started at
 // started with the timeout initial. The result is longer if responses received
 // since the start show that the store is slow.
-func (hedged *Persistent) extendedTimeout(started time.Time, initial time.Duration) time.Duration {
+func (hedged *Hedged) extendedTimeout(started time.Time, initial time.Duration) time.Duration {
 	hedged.mu.Lock()
 	responded := hedged.responded.After(started)
 	hedged.mu.Unlock()
@@ -182,7 +182,7 @@
 
 // recordResponse records that the store responded to an attempt that started at
 // started, and whether the attempt was a repeat.
-func (hedged *Persistent) recordResponse(started time.Time, isHedge bool) {
+func (hedged *Hedged) recordResponse(started time.Time, isHedge bool) {
 	now := hedged.clock.Now()
 	latency := now.Sub(started)
 	hedged.mu.Lock()
@@ -204,7 +204,7 @@
 // recordTimeout records a call without a response in the time waited. Since the
 // store may have become slow, it raises the typical latency, so that later calls
 // wait longer until responses are fast again.
-func (hedged *Persistent) recordTimeout(waited time.Duration) {
+func (hedged *Hedged) recordTimeout(waited time.Duration) {
 	hedged.mu.Lock()
 	defer hedged.mu.Unlock()
 	hedged.typicalLatency = max(hedged.typicalLatency, min(waited/2, maxSilentLatency))
--- a/store/storetest/memory.go
+++ b/store/storetest/memory.go
@@ -17,7 +17,7 @@
 // Memory is a store in memory. Its zero value is not usable; call New. The
 // fields rows and log hold the current rows and the change history, compactedTo
 // the version up to which the history was dropped, and lostCommits the
-// transactions of requests lost by LoseCall.
+// transactions of requests lost by LoseRequest.
 type Memory struct {
 	mu          sync.Mutex
 	rows        map[partitionKey]map[string]store.Row
@@ -59,11 +59,11 @@
 	None Fault = iota
 	// Refuse rejects the call with FailureRefused; nothing is done.
 	Refuse
-	// LoseAnswer executes the call and fails it with FailureUnanswered.
-	LoseAnswer
-	// LoseCall fails the call with FailureUnanswered without executing it. A
-	// transaction is kept and can be applied by ApplyLate.
-	LoseCall
+	// LoseResponse executes the call and fails it with FailureUnanswered.
+	LoseResponse
+	// LoseRequest fails the call with FailureUnanswered without executing it. A
+	// transaction is kept and can be applied by ApplyLost.
+	LoseRequest
 )
 
 // New returns an empty store that injects no faults.
@@ -79,9 +79,9 @@
 	memory.fault = f
 }
 
-// Random returns a function for SetFault that returns one of faults, chosen
+// RandomFaults returns a function for SetFault that returns one of faults, chosen
 // uniformly, with the probability share, and None otherwise.
-func Random(rng *rand.Rand, share float64, faults ...Fault) func(string, string) Fault {
+func RandomFaults(rng *rand.Rand, share float64, faults ...Fault) func(string, string) Fault {
 	var mu sync.Mutex
 	return func(string, string) Fault {
 		mu.Lock()
@@ -100,9 +100,9 @@
 	return memory.commits
 }
 
-// ApplyLate applies, in order, the transactions whose requests were lost, each
+// ApplyLost applies, in order, the transactions whose requests were lost, each
 // only if its conditions hold now.
-func (memory *Memory) ApplyLate() {
+func (memory *Memory) ApplyLost() {
 	memory.mu.Lock()
 	defer memory.mu.Unlock()
 	for _, tx := range memory.lostCommits {
@@ -182,10 +182,10 @@
 	switch memory.fault("commit", partition) {
 	case Refuse:
 		return 0, store.NewError(store.FailureRefused, "commit", "test")
-	case LoseCall:
+	case LoseRequest:
 		memory.lostCommits = append(memory.lostCommits, tx)
 		return 0, store.NewError(store.FailureUnanswered, "commit", "test")
-	case LoseAnswer:
+	case LoseResponse:
 		_, _ = memory.apply(tx) // the response is lost, with it any error
 		return 0, store.NewError(store.FailureUnanswered, "commit", "test")
 	}
@@ -199,7 +199,7 @@
 	switch memory.fault("read", r.Partition) {
 	case Refuse:
 		return store.Page{}, store.NewError(store.FailureRefused, "read", "test")
-	case LoseAnswer, LoseCall:
+	case LoseResponse, LoseRequest:
 		return store.Page{}, store.NewError(store.FailureUnanswered, "read", "test")
 	}
 	page := store.Page{Version: memory.version}
@@ -242,7 +242,7 @@
 	switch memory.fault("watch", "") {
 	case Refuse:
 		return store.Page{}, nil, store.NewError(store.FailureRefused, "watch", "test")
-	case LoseAnswer, LoseCall:
+	case LoseResponse, LoseRequest:
 		return store.Page{}, nil, store.NewError(store.FailureUnanswered, "watch", "test")
 	}
 	if after < memory.compactedTo {
