--- a/archive/archive.go
+++ b/archive/archive.go
@@ -201,12 +201,12 @@
 	}
 }
 
-// Keep makes turn durable. It retries until ctx ends, since a turn that isn't
+// Save makes turn durable. It retries until ctx ends, since a turn that isn't
 // stored is lost to its caller. Retries are idempotent: an attempt whose response
-// was lost may have been applied. Keep returns a *TurnConflictError if the ID
+// was lost may have been applied. Save returns a *TurnConflictError if the ID
 // belongs to another turn, a *history.TooLargeError if the turn doesn't fit, and
 // otherwise the last error of the store.
-func (archive *Archive) Keep(ctx context.Context, turn *history.Turn) error {
+func (archive *Archive) Save(ctx context.Context, turn *history.Turn) error {
 	values, err := turn.Encode(archive.rowBytes)
 	if err != nil {
 		return err
--- a/archive/archive_test.go
+++ b/archive/archive_test.go
@@ -47,7 +47,7 @@
 	for _, owner := range []string{"", "x", "y"} {
 		written := turn("of-" + owner)
 		written.Organisation = owner
-		require.NoError(t, a.Keep(ctx, written))
+		require.NoError(t, a.Save(ctx, written))
 	}
 	for _, reader := range []*archive.Archive{a, open(memory)} {
 		for _, owner := range []string{"", "x", "y"} {
@@ -70,9 +70,9 @@
 	ctx := context.Background()
 	memory := storetest.New()
 	a := open(memory)
-	require.NoError(t, a.Keep(ctx, turn("t1")))
-	require.NoError(t, a.Keep(ctx, turn("t2", "t1")))
-	require.NoError(t, a.Keep(ctx, turn("t3", "t1", "t2")))
+	require.NoError(t, a.Save(ctx, turn("t1")))
+	require.NoError(t, a.Save(ctx, turn("t2", "t1")))
+	require.NoError(t, a.Save(ctx, turn("t3", "t1", "t2")))
 	chain, err := open(memory).Chain(ctx, "", "t3", "")
 	require.NoError(t, err)
 	assert.Equal(t, []string{"t1", "t2", "t3"}, ids(chain))
@@ -88,7 +88,7 @@
 func TestChainReportsStoreErrorForUnreadableTurn(t *testing.T) {
 	ctx := context.Background()
 	memory := storetest.New()
-	require.NoError(t, open(memory).Keep(ctx, turn("t1")))
+	require.NoError(t, open(memory).Save(ctx, turn("t1")))
 	primary := ""
 	memory.SetFault(func(op, partition string) storetest.Fault {
 		if op == "read" && primary == "" {
@@ -124,7 +124,7 @@
 			return storetest.None
 		})
 		bounded, cancel := context.WithTimeout(ctx, time.Second)
-		require.NoError(t, open(memory).Keep(bounded, turn(id)))
+		require.NoError(t, open(memory).Save(bounded, turn(id)))
 		cancel()
 		memory.SetFault(func(string, string) storetest.Fault { return storetest.None })
 		chain, err := open(memory).Chain(ctx, "", id, "")
@@ -137,12 +137,12 @@
 	ctx := context.Background()
 	memory := storetest.New()
 	a := open(memory)
-	require.NoError(t, a.Keep(ctx, turn("t1")))
-	require.NoError(t, a.Keep(ctx, turn("t1")))
+	require.NoError(t, a.Save(ctx, turn("t1")))
+	require.NoError(t, a.Save(ctx, turn("t1")))
 	other := turn("t1")
 	other.Input = []byte("another")
 	var conflict *archive.TurnConflictError
-	require.ErrorAs(t, a.Keep(ctx, other), &conflict)
+	require.ErrorAs(t, a.Save(ctx, other), &conflict)
 	chain, err := open(memory).Chain(ctx, "", "t1", "")
 	require.NoError(t, err)
 	assert.Equal(t, "input of t1", string(chain[0].Input))
@@ -157,7 +157,7 @@
 	for i := range long.Input {
 		long.Input[i] = byte(rng.Uint32())
 	}
-	require.NoError(t, open(memory).Keep(ctx, long))
+	require.NoError(t, open(memory).Save(ctx, long))
 	chain, err := open(memory).Chain(ctx, "", "a/b!c d", "")
 	require.NoError(t, err)
 	assert.Equal(t, long.Input, chain[0].Input)
@@ -218,7 +218,7 @@
 					out := registerOutput{}
 					ctx, cancel := context.WithTimeout(context.Background(), 50*time.Millisecond)
 					if in.write {
-						out.found = open(memory).Keep(ctx, turn(in.id)) == nil
+						out.found = open(memory).Save(ctx, turn(in.id)) == nil
 					} else {
 						_, err := open(memory).Chain(ctx, "", in.id, "")
 						_, unknown := err.(*archive.UnknownTurnError)
--- a/archive/peer.go
+++ b/archive/peer.go
@@ -27,24 +27,24 @@
 type Peers interface {
 	// Turns returns the turn id and its ancestors, as far as the given instance
 	// has them in memory.
-	Turns(ctx context.Context, instance, id string) ([]Kept, error)
+	Turns(ctx context.Context, instance, id string) ([]EncodedTurn, error)
 }
 
-// Kept is a turn in its stored form: its ID and the values of its rows.
-type Kept struct {
+// EncodedTurn is a turn in its stored form: its ID and the values of its rows.
+type EncodedTurn struct {
 	ID   string
 	Rows [][]byte
 }
 
-// Held returns the cached turns of the conversation that ends with the turn id,
+// Cached returns the cached turns of the conversation that ends with the turn id,
 // newest first, up to maxHeldBytes in total. It returns nil if the turn id isn't
 // cached. All turns returned are also in the store.
-func (archive *Archive) Held(id string) []Kept {
+func (archive *Archive) Cached(id string) []EncodedTurn {
 	last := archive.cache.get(id)
 	if last == nil {
 		return nil
 	}
-	var cached []Kept
+	var cached []EncodedTurn
 	size := 0
 	for _, id := range slices.Backward(last.Chain()) {
 		turn := archive.cache.get(id)
@@ -62,7 +62,7 @@
 		if size > maxHeldBytes {
 			break
 		}
-		cached = append(cached, Kept{ID: id, Rows: rows})
+		cached = append(cached, EncodedTurn{ID: id, Rows: rows})
 	}
 	return cached
 }
--- a/archive/peer_test.go
+++ b/archive/peer_test.go
@@ -24,11 +24,11 @@
 // fleet maps instance names to archives, and calls them directly as peers.
 type fleet map[string]*archive.Archive
 
-func (fleet fleet) Turns(_ context.Context, instance, id string) ([]archive.Kept, error) {
+func (fleet fleet) Turns(_ context.Context, instance, id string) ([]archive.EncodedTurn, error) {
 	if fleet[instance] == nil {
 		return nil, errAbsent
 	}
-	return fleet[instance].Held(id), nil
+	return fleet[instance].Cached(id), nil
 }
 
 // countReads returns a counter of the reads from memory.
@@ -62,7 +62,7 @@
 			require.NoError(t, err)
 			next.Ancestors = chain[len(chain)-1].Chain()
 		}
-		require.NoError(t, instance.Keep(ctx, next))
+		require.NoError(t, instance.Save(ctx, next))
 	}
 	return chain
 }
@@ -115,22 +115,22 @@
 // garbledPeers returns a turn that cannot be decoded.
 type garbledPeers struct{}
 
-func (garbledPeers) Turns(context.Context, string, string) ([]archive.Kept, error) {
-	return []archive.Kept{{ID: "t03", Rows: [][]byte{[]byte("no turn")}}}, nil
+func (garbledPeers) Turns(context.Context, string, string) ([]archive.EncodedTurn, error) {
+	return []archive.EncodedTurn{{ID: "t03", Rows: [][]byte{[]byte("no turn")}}}, nil
 }
 
 // partialPeers returns an ancestor of the turn only.
 type partialPeers struct{}
 
-func (partialPeers) Turns(context.Context, string, string) ([]archive.Kept, error) {
+func (partialPeers) Turns(context.Context, string, string) ([]archive.EncodedTurn, error) {
 	rows, err := turn("t01", "t00").Encode(64 << 10)
-	return []archive.Kept{{ID: "t01", Rows: rows}}, err
+	return []archive.EncodedTurn{{ID: "t01", Rows: rows}}, err
 }
 
 // silentPeers never responds.
 type silentPeers struct{}
 
-func (silentPeers) Turns(ctx context.Context, _, _ string) ([]archive.Kept, error) {
+func (silentPeers) Turns(ctx context.Context, _, _ string) ([]archive.EncodedTurn, error) {
 	<-ctx.Done()
 	return nil, ctx.Err()
 }
@@ -147,9 +147,9 @@
 		long := turn(fmt.Sprintf("t%d", n), chain...)
 		long.Input = []byte(randomText(24 << 10))
 		chain = append(chain, long.ID)
-		require.NoError(t, a.Keep(ctx, long))
+		require.NoError(t, a.Save(ctx, long))
 	}
-	cached := a.Held("t7")
+	cached := a.Cached("t7")
 	size := 0
 	for n, kept := range cached {
 		assert.Equal(t, fmt.Sprintf("t%d", 7-n), kept.ID)
@@ -163,8 +163,8 @@
 	memory.SetFault(func(string, string) storetest.Fault { return storetest.Refuse })
 	callCtx, cancel := context.WithTimeout(ctx, 50*time.Millisecond)
 	defer cancel()
-	require.True(t, store.Unserved(a.Keep(callCtx, turn("t8", chain...))))
-	assert.Empty(t, a.Held("t8"))
+	require.True(t, store.Unserved(a.Save(callCtx, turn("t8", chain...))))
+	assert.Empty(t, a.Cached("t8"))
 }
 
 var rng = rand.New(rand.NewPCG(1, 2))
--- a/entrypeer/entrypeer_test.go
+++ b/entrypeer/entrypeer_test.go
@@ -68,16 +68,16 @@
 	return account.Loan{ID: 7, Places: []account.Place{{Part: borrowing.Parts[0], Endpoint: "e1", Tokens: 5000}}}, nil
 }
 
-// Held returns the turn "t1". The ID "slow" delays the response, as a frozen
+// Cached returns the turn "t1". The ID "slow" delays the response, as a frozen
 // machine would.
-func (i *instance) Held(id string) []archive.Kept {
+func (i *instance) Cached(id string) []archive.EncodedTurn {
 	if id == "slow" {
 		time.Sleep(200 * time.Millisecond)
 	}
 	if id != "t1" {
 		return nil
 	}
-	return []archive.Kept{{ID: "t1", Rows: [][]byte{[]byte("row 0"), []byte("row 1")}}}
+	return []archive.EncodedTurn{{ID: "t1", Rows: [][]byte{[]byte("row 0"), []byte("row 1")}}}
 }
 
 func (i *instance) SettleLoans(repayments []account.Repayment) {
@@ -297,7 +297,7 @@
 	}, time.Second, 5*time.Millisecond)
 	held, err := a.client.Turns(context.Background(), "b", "t1")
 	require.NoError(t, err)
-	assert.Equal(t, []archive.Kept{{ID: "t1", Rows: [][]byte{[]byte("row 0"), []byte("row 1")}}}, held)
+	assert.Equal(t, []archive.EncodedTurn{{ID: "t1", Rows: [][]byte{[]byte("row 0"), []byte("row 1")}}}, held)
 	held, err = a.client.Turns(context.Background(), "b", "t2")
 	require.NoError(t, err)
 	assert.Empty(t, held)
--- a/entrypeer/turns.go
+++ b/entrypeer/turns.go
@@ -9,8 +9,8 @@
 
 // TurnCache holds turns in memory. *archive.Archive implements it.
 type TurnCache interface {
-	// Held returns a turn and its ancestors, as far as they are in memory.
-	Held(id string) []archive.Kept
+	// Cached returns a turn and its ancestors, as far as they are in memory.
+	Cached(id string) []archive.EncodedTurn
 }
 
 // turnsRequest requests a turn and its ancestors.
@@ -20,7 +20,7 @@
 
 // turnsResponse holds the turns found in memory, the requested one first.
 type turnsResponse struct {
-	Turns []archive.Kept
+	Turns []archive.EncodedTurn
 }
 
 // UnavailableError is returned when an instance is not called because it is not
@@ -38,7 +38,7 @@
 // directory has no instance called name or excludes it. A timeout does not
 // exclude the instance from other calls, whose timeouts are about ten times as
 // long.
-func (client *Client) Turns(ctx context.Context, name, id string) ([]archive.Kept, error) {
+func (client *Client) Turns(ctx context.Context, name, id string) ([]archive.EncodedTurn, error) {
 	instance, ok := client.directory.available(name)
 	if !ok {
 		return nil, &UnavailableError{instance: name}
@@ -56,5 +56,5 @@
 	if !decode(w, r, &message) {
 		return
 	}
-	server.reply(w, &turnsResponse{Turns: server.Turns.Held(message.ID)})
+	server.reply(w, &turnsResponse{Turns: server.Turns.Cached(message.ID)})
 }
--- a/gateway/gateway_test.go
+++ b/gateway/gateway_test.go
@@ -77,7 +77,9 @@
 
 func (singleInstance) ReleaseUnused(context.Context, string, []string) {}
 
-func (singleInstance) Turns(context.Context, string, string) ([]archive.Kept, error) { return nil, nil }
+func (singleInstance) Turns(context.Context, string, string) ([]archive.EncodedTurn, error) {
+	return nil, nil
+}
 
 func (singleInstance) OwnerTerminated(string) bool { return false }
 
--- a/gateway/serve.go
+++ b/gateway/serve.go
@@ -521,7 +521,7 @@
 		turn.Ancestors = e.chain[len(e.chain)-1].Chain()
 	}
 	began := e.Clock.Now()
-	err := e.runWithKeepAlive(ctx, func(ctx context.Context) error { return e.Archive.Keep(ctx, turn) })
+	err := e.runWithKeepAlive(ctx, func(ctx context.Context) error { return e.Archive.Save(ctx, turn) })
 	e.metrics.storeTurn.RecordDuration(e.Clock.Now().Sub(began))
 	if err != nil {
 		return refuse(ReasonNotKept, http.StatusBadGateway, 0, err)
