--- a/cmd/wagtaildrum/front.go
+++ b/cmd/wagtaildrum/front.go
@@ -279,7 +279,7 @@
 // its state would belong to no instance that could release them.
 func serveUntil(listener net.Listener, handler http.Handler, log *slog.Logger) func(context.Context, chan<- error) {
 	return func(ctx context.Context, done chan<- error) {
-		srv := &http.Server{Handler: logging.Panics(handler, log), ReadHeaderTimeout: 5 * time.Second, ErrorLog: slog.NewLogLogger(log.Handler(), slog.LevelWarn)}
+		srv := &http.Server{Handler: logging.LogPanics(handler, log), ReadHeaderTimeout: 5 * time.Second, ErrorLog: slog.NewLogLogger(log.Handler(), slog.LevelWarn)}
 		ended := make(chan error, 1)
 		go func() { ended <- srv.Serve(listener) }()
 		<-ctx.Done()
--- a/gateway/listener.go
+++ b/gateway/listener.go
@@ -71,7 +71,7 @@
 // NewServer returns a server that calls handler for each request and logs its
 // panics.
 func NewServer(handler http.Handler, log *slog.Logger) *Server {
-	return &Server{handler: logging.Panics(handler, log), log: log, conns: map[*callerConn]bool{}}
+	return &Server{handler: logging.LogPanics(handler, log), log: log, conns: map[*callerConn]bool{}}
 }
 
 // callerListener wraps accepted connections in a callerConn.
--- a/logging/panics.go
+++ b/logging/panics.go
@@ -10,12 +10,12 @@
 // innermost calls come first and remain.
 const maxStackBytes = 4 << 10
 
-// Panics returns a handler that calls handler and logs its panics as errors,
+// LogPanics returns a handler that calls handler and logs its panics as errors,
 // with the method, path and caller of the request, which the log line of
 // net/http lacks. It doesn't log http.ErrAbortHandler, which is a deliberate
 // abort. In both cases it panics with http.ErrAbortHandler, so that the server
 // closes the connection.
-func Panics(handler http.Handler, log *slog.Logger) http.Handler {
+func LogPanics(handler http.Handler, log *slog.Logger) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		defer func() {
 			recovered := recover()
--- a/logging/panics_test.go
+++ b/logging/panics_test.go
@@ -18,7 +18,7 @@
 // handler without a log line.
 func TestLogPanicsLogsPanicWithRequest(t *testing.T) {
 	var out bytes.Buffer
-	handler := logging.Panics(http.HandlerFunc(func(http.ResponseWriter, *http.Request) { panic("no such part") }), slog.New(logging.NewHandler(&out)))
+	handler := logging.LogPanics(http.HandlerFunc(func(http.ResponseWriter, *http.Request) { panic("no such part") }), slog.New(logging.NewHandler(&out)))
 	r := httptest.NewRequest(http.MethodPost, "/keep/x", nil)
 	require.PanicsWithValue(t, http.ErrAbortHandler, func() { handler.ServeHTTP(httptest.NewRecorder(), r) })
 	assert.Equal(t, 1, strings.Count(out.String(), "\n"))
@@ -30,7 +30,7 @@
 // Guards against a log line for each response that is aborted deliberately.
 func TestLogPanicsIgnoresErrAbortHandler(t *testing.T) {
 	var out bytes.Buffer
-	handler := logging.Panics(http.HandlerFunc(func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }), slog.New(logging.NewHandler(&out)))
+	handler := logging.LogPanics(http.HandlerFunc(func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }), slog.New(logging.NewHandler(&out)))
 	require.PanicsWithValue(t, http.ErrAbortHandler, func() {
 		handler.ServeHTTP(httptest.NewRecorder(), httptest.NewRequest(http.MethodGet, "/", nil))
 	})
