--- a/entrypeer/entrypeer_test.go
+++ b/entrypeer/entrypeer_test.go
@@ -33,7 +33,7 @@
 // the interfaces of entrypeer.Server itself.
 type instance struct {
 	owner            string
-	door             *platformtest.Door
+	door             *platformtest.StoreServer
 	directory        *entrypeer.Directory
 	client           *entrypeer.Client
 	relay            *entrypeer.Relay
@@ -91,7 +91,7 @@
 // the test ends.
 func start(t *testing.T, memory *storetest.Memory, name string) *instance {
 	t.Helper()
-	i := &instance{owner: name + "-1", door: platformtest.NewDoor(memory)}
+	i := &instance{owner: name + "-1", door: platformtest.NewStoreServer(memory)}
 	t.Cleanup(i.door.Close)
 	log := slog.New(slog.NewTextHandler(io.Discard, nil))
 	clk := clock.Real{}
@@ -134,8 +134,8 @@
 	memory := storetest.New()
 	shut, open := start(t, memory, "shut"), start(t, memory, "open")
 	time.Sleep(50 * time.Millisecond) // lets the instances find each other
-	for _, mode := range []platformtest.Mode{platformtest.Busy, platformtest.Many, platformtest.Reset, platformtest.Silent} {
-		shut.door.Set(mode)
+	for _, mode := range []platformtest.StoreMode{platformtest.ServiceUnavailable, platformtest.TooManyRequests, platformtest.ResetConnections, platformtest.IgnoreRequests} {
+		shut.door.SetMode(mode)
 		for range 5 {
 			require.NoError(t, shut.put(t), "%v", mode)
 		}
@@ -147,13 +147,13 @@
 		page, err := shut.relay.Watch(context.Background(), key.Table, row.Version-1, 100*time.Millisecond)
 		require.NoError(t, err)
 		assert.Len(t, page.Rows, 1)
-		shut.door.Set(platformtest.Open)
-		calls := shut.door.Calls()
-		require.Eventually(t, func() bool { _ = shut.put(t); return shut.door.Calls() > calls+1 }, 2*time.Second, 20*time.Millisecond, "the direct connection is used again")
+		shut.door.SetMode(platformtest.Serving)
+		calls := shut.door.RequestCount()
+		require.Eventually(t, func() bool { _ = shut.put(t); return shut.door.RequestCount() > calls+1 }, 2*time.Second, 20*time.Millisecond, "the direct connection is used again")
 	}
 	assert.False(t, shut.directory.Isolated())
-	open.door.Set(platformtest.Busy)
-	shut.door.Set(platformtest.Busy)
+	open.door.SetMode(platformtest.ServiceUnavailable)
+	shut.door.SetMode(platformtest.ServiceUnavailable)
 	err := shut.put(t)
 	assert.True(t, store.Unserved(err), "%v", err)
 	assert.False(t, shut.directory.Isolated(), "others respond, so the store is unavailable to all")
@@ -184,13 +184,13 @@
 	memory := storetest.New()
 	own := start(t, memory, "own")
 	start(t, memory, "open")
-	doors := []*platformtest.Door{own.door}
+	doors := []*platformtest.StoreServer{own.door}
 	for n := range 6 {
 		doors = append(doors, start(t, memory, fmt.Sprint("shut", n)).door)
 	}
 	require.Eventually(t, func() bool { _, all := own.directory.Members(); return len(all) == 8 }, 2*time.Second, 5*time.Millisecond)
 	for _, door := range doors {
-		door.Set(platformtest.Busy)
+		door.SetMode(platformtest.ServiceUnavailable)
 	}
 	failed := 0
 	for range 30 {
@@ -233,8 +233,8 @@
 	memory := storetest.New()
 	shut, mute := start(t, memory, "shut"), start(t, memory, "mute")
 	time.Sleep(50 * time.Millisecond) // lets the instances find each other
-	shut.door.Set(platformtest.Busy)
-	mute.door.Set(platformtest.Mute)
+	shut.door.SetMode(platformtest.ServiceUnavailable)
+	mute.door.SetMode(platformtest.DropResponses)
 	err := shut.put(t)
 	assert.True(t, store.Is(err, store.FailureUnanswered), "%v", err)
 	row, rowErr := store.Get(context.Background(), memory, key)
@@ -433,7 +433,7 @@
 	memory := storetest.New()
 	own, other := start(t, memory, "own"), start(t, memory, "other")
 	time.Sleep(50 * time.Millisecond) // lets the instances find each other
-	own.door.SetPartly(platformtest.Silent, func(partition string) bool { return partition == "busy" })
+	own.door.SetModeForPartitions(platformtest.IgnoreRequests, func(partition string) bool { return partition == "busy" })
 	ctx, cancel := context.WithCancel(context.Background())
 	answered := make(chan error, 1)
 	go func() {
@@ -443,10 +443,10 @@
 			time.Sleep(20 * time.Millisecond)
 		}
 	}()
-	calls := other.door.Calls()
+	calls := other.door.RequestCount()
 	_, err := own.relay.Commit(context.Background(), store.Transaction{Puts: []store.Put{{Key: store.Key{Table: "t", Partition: "busy", Name: "a"}, Value: []byte("v")}}})
 	cancel()
 	require.NoError(t, <-answered)
 	assert.True(t, store.Is(err, store.FailureUnanswered), "%v", err)
-	assert.LessOrEqual(t, other.door.Calls()-calls, int64(1), "no call but its own watch")
+	assert.LessOrEqual(t, other.door.RequestCount()-calls, int64(1), "no call but its own watch")
 }
--- a/gateway/admit_test.go
+++ b/gateway/admit_test.go
@@ -22,7 +22,7 @@
 // slot.
 func TestUrgentTurnsAdmittedBeforeLowerPriority(t *testing.T) {
 	b := newFixture(t)
-	b.model.Limited, b.model.Slots, b.model.Pause = true, 4, 30*time.Millisecond
+	b.model.Limited, b.model.Slots, b.model.EventDelay = true, 4, 30*time.Millisecond
 	i := b.startInstance()
 	ctx, stop := context.WithCancel(context.Background())
 	var callers sync.WaitGroup
--- a/gateway/gateway_test.go
+++ b/gateway/gateway_test.go
@@ -115,7 +115,7 @@
 	b := &fixture{t: t, logs: io.Discard, memory: storetest.New(), model: platformtest.NewEndpoint("i-model", "model", true), tool: platformtest.NewEndpoint("i-tool", "tool", false)}
 	t.Cleanup(b.model.Close)
 	t.Cleanup(b.tool.Close)
-	platformtest.Configure(b.memory, platformtest.Configuration(3))
+	platformtest.PutConfiguration(b.memory, platformtest.Configuration(3))
 	b.store = b.memory
 	b.model.Register(b.memory, "a", "ready")
 	b.tool.Register(b.memory, "a", "ready")
@@ -233,7 +233,7 @@
 	assert.Equal(t, "answer to r2", body)
 	_, body = i.mustSend(callerRequest{path: "/chat/x", id: "r3", body: "hello", header: turnHeaders("p", nil)})
 	assert.Equal(t, streamText("r3", 1, 3), body)
-	runs := b.tool.Runs()
+	runs := b.tool.ReceivedRequests()
 	require.Len(t, runs, 2)
 	assert.Equal(t, "/look/x?q=1", runs[0].Path)
 	assert.Equal(t, "charge", runs[1].Body)
@@ -245,7 +245,7 @@
 	assert.Equal(t, 400, response.StatusCode)
 	response, _ = i.mustSend(callerRequest{path: "/post/x", id: "r6", body: strings.Repeat("x", 70000)})
 	assert.Equal(t, 413, response.StatusCode)
-	assert.Len(t, b.tool.Runs(), 2, "refused requests must not reach an endpoint")
+	assert.Len(t, b.tool.ReceivedRequests(), 2, "refused requests must not reach an endpoint")
 }
 
 // Checks that turns of a conversation sent through different instances, one of
@@ -266,7 +266,7 @@
 	output := func(id string) string {
 		return fmt.Sprintf("%s\n%s\n%s\n", platformtest.Data(id, 1), platformtest.Data(id, 2), platformtest.Data(id, 3))
 	}
-	runs := b.model.Runs()
+	runs := b.model.ReceivedRequests()
 	assert.Equal(t, "one "+output("t1")+"two "+output("t2")+"three", runs[len(runs)-1].Body)
 	response, _ = third.mustSend(callerRequest{path: "/keep/x", id: "t4", body: "x", header: turnHeaders("p", continuing("never"))})
 	assert.Equal(t, 404, response.StatusCode)
@@ -279,7 +279,7 @@
 	b := newFixture(t)
 	i := b.startInstance()
 	b.memory.SetFault(func(op, _ string) storetest.Fault {
-		if op == "commit" && len(b.model.Runs()) > 0 {
+		if op == "commit" && len(b.model.ReceivedRequests()) > 0 {
 			return storetest.Refuse
 		}
 		return storetest.None
@@ -291,7 +291,7 @@
 	assert.Equal(t, streamText("t1", 1, 3), body)
 	assert.Greater(t, time.Since(began), 500*time.Millisecond)
 	b.memory.SetFault(func(op, _ string) storetest.Fault {
-		if op == "commit" && len(b.model.Runs()) > 1 {
+		if op == "commit" && len(b.model.ReceivedRequests()) > 1 {
 			return storetest.Refuse
 		}
 		return storetest.None
@@ -313,7 +313,7 @@
 	}
 	assert.LessOrEqual(t, statuses[200], 3)
 	assert.GreaterOrEqual(t, statuses[200], 2)
-	assert.Equal(t, statuses[200], len(b.model.Runs()), "refused turns must not run")
+	assert.Equal(t, statuses[200], len(b.model.ReceivedRequests()), "refused turns must not run")
 }
 
 // Guards against reading the conversation of a turn that its budget refuses. In
@@ -346,7 +346,7 @@
 // requested, or was requested only once.
 func TestStreamContinuesAfterPartialGrant(t *testing.T) {
 	b := newFixture(t)
-	b.model.Events, b.model.Pause = 21, 10*time.Millisecond // of 27 tokens each: the maximum of the turn
+	b.model.Events, b.model.EventDelay = 21, 10*time.Millisecond // of 27 tokens each: the maximum of the turn
 	i := b.startInstance()
 	require.NoError(t, i.accounts.AcquireOnce(context.Background(), singleInstance{}, false))
 	_, body := i.mustSend(callerRequest{path: "/chat/x", id: "t1", body: "x", header: turnHeaders("p1", nil)})
@@ -387,7 +387,7 @@
 // remaining budget ends while the caller still waits.
 func TestStreamWaitsForBudgetHeldByOtherTurns(t *testing.T) {
 	b := newFixture(t)
-	b.model.Events, b.model.Pause = 21, 60*time.Millisecond // the escrow covers 18 events, 1.1 s of the stream
+	b.model.Events, b.model.EventDelay = 21, 60*time.Millisecond // the escrow covers 18 events, 1.1 s of the stream
 	i := b.startInstance()
 	ctx := context.Background()
 	require.NoError(t, i.accounts.AcquireOnce(ctx, singleInstance{}, false))
@@ -431,15 +431,17 @@
 	other.Register(b.memory, "a", "ready")
 	i := b.startInstance()
 	for _, endpoint := range []*platformtest.Endpoint{b.tool, other} {
-		endpoint.Behave(func(*platformtest.Run) platformtest.Behaviour { return platformtest.Behaviour{Lose: true} })
+		endpoint.SetBehaviour(func(*platformtest.ReceivedRequest) platformtest.Behaviour {
+			return platformtest.Behaviour{DropResponse: true}
+		})
 	}
 	response, _ := i.mustSend(callerRequest{path: "/post/x", id: "r1", body: "x"})
 	assert.Equal(t, 502, response.StatusCode, "the request may have run")
 	assert.Empty(t, response.Header.Get("Retry-After"))
-	assert.Equal(t, 1, len(b.tool.Runs())+len(other.Runs()))
+	assert.Equal(t, 1, len(b.tool.ReceivedRequests())+len(other.ReceivedRequests()))
 	response, _ = i.mustSend(callerRequest{path: "/look/x", id: "r2"})
 	assert.Equal(t, 502, response.StatusCode)
-	assert.Equal(t, 3, len(b.tool.Runs())+len(other.Runs()), "an idempotent request is tried at two endpoints")
+	assert.Equal(t, 3, len(b.tool.ReceivedRequests())+len(other.ReceivedRequests()), "an idempotent request is tried at two endpoints")
 }
 
 // Guards against refusing a caller while an endpoint is free. A rejection by a
@@ -451,14 +453,18 @@
 	defer other.Close()
 	other.Register(b.memory, "b", "ready")
 	i := b.startInstance()
-	b.tool.Behave(func(*platformtest.Run) platformtest.Behaviour { return platformtest.Behaviour{Full: true} })
+	b.tool.SetBehaviour(func(*platformtest.ReceivedRequest) platformtest.Behaviour {
+		return platformtest.Behaviour{RejectFull: true}
+	})
 	response, _ := i.mustSend(callerRequest{path: "/post/x", id: "r1", body: "x"})
 	assert.Equal(t, 200, response.StatusCode)
-	other.Behave(func(*platformtest.Run) platformtest.Behaviour { return platformtest.Behaviour{Full: true} })
+	other.SetBehaviour(func(*platformtest.ReceivedRequest) platformtest.Behaviour {
+		return platformtest.Behaviour{RejectFull: true}
+	})
 	response, _ = i.mustSend(callerRequest{path: "/post/x", id: "r2", body: "x"})
 	assert.Equal(t, 503, response.StatusCode)
 	assert.NotEmpty(t, response.Header.Get("Retry-After"))
-	assert.Len(t, other.Runs(), 1)
+	assert.Len(t, other.ReceivedRequests(), 1)
 }
 
 // Guards against a response assembled from pieces of two. When an engine fails
@@ -471,9 +477,9 @@
 	other.Register(b.memory, "b", "ready")
 	i := b.startInstance()
 	for _, endpoint := range []*platformtest.Endpoint{b.model, other} {
-		endpoint.Behave(func(run *platformtest.Run) platformtest.Behaviour {
-			if run.After == "" {
-				return platformtest.Behaviour{BreakAfter: 1}
+		endpoint.SetBehaviour(func(run *platformtest.ReceivedRequest) platformtest.Behaviour {
+			if run.LastEventID == "" {
+				return platformtest.Behaviour{ResetAfter: 1}
 			}
 			return platformtest.Behaviour{}
 		})
@@ -493,12 +499,12 @@
 func TestCallerDisconnectCancelsUpstreamRequest(t *testing.T) {
 	b := newFixture(t)
 	i := b.startInstance()
-	b.model.Behave(func(*platformtest.Run) platformtest.Behaviour { return platformtest.Behaviour{Hang: true} })
+	b.model.SetBehaviour(func(*platformtest.ReceivedRequest) platformtest.Behaviour { return platformtest.Behaviour{Hang: true} })
 	ctx, cancel := context.WithTimeout(context.Background(), 100*time.Millisecond)
 	defer cancel()
 	_, _, err := i.send(callerRequest{path: "/chat/x", id: "t1", body: "x", header: turnHeaders("p", nil), ctx: ctx})
 	require.Error(t, err)
-	assert.Eventually(t, func() bool { runs := b.model.Runs(); return len(runs) == 1 && runs[0].Ended }, 500*time.Millisecond, 5*time.Millisecond)
+	assert.Eventually(t, func() bool { runs := b.model.ReceivedRequests(); return len(runs) == 1 && runs[0].Completed }, 500*time.Millisecond, 5*time.Millisecond)
 }
 
 // Checks that a request without a response by its deadline is refused then, and
@@ -506,13 +512,13 @@
 func TestDeadlineEndsRequest(t *testing.T) {
 	b := newFixture(t)
 	i := b.startInstance()
-	b.tool.Behave(func(*platformtest.Run) platformtest.Behaviour { return platformtest.Behaviour{Hang: true} })
+	b.tool.SetBehaviour(func(*platformtest.ReceivedRequest) platformtest.Behaviour { return platformtest.Behaviour{Hang: true} })
 	began := time.Now()
 	response, _ := i.mustSend(callerRequest{path: "/look/x", id: "r1", header: map[string]string{"X-Deadline-Ms": "300"}})
 	assert.Equal(t, 504, response.StatusCode)
 	assert.Less(t, time.Since(began), 500*time.Millisecond)
 	var remaining int
-	_, err := fmt.Sscan(b.tool.Runs()[0].Deadline, &remaining)
+	_, err := fmt.Sscan(b.tool.ReceivedRequests()[0].Deadline, &remaining)
 	require.NoError(t, err)
 	assert.LessOrEqual(t, remaining, 300)
 	assert.Greater(t, remaining, 200)
@@ -524,7 +530,9 @@
 func TestResponseToOtherRequestIsDiscarded(t *testing.T) {
 	b := newFixture(t)
 	i := b.startInstance()
-	b.tool.Behave(func(*platformtest.Run) platformtest.Behaviour { return platformtest.Behaviour{Foreign: true} })
+	b.tool.SetBehaviour(func(*platformtest.ReceivedRequest) platformtest.Behaviour {
+		return platformtest.Behaviour{StaleResponse: true}
+	})
 	response, body := i.mustSend(callerRequest{path: "/post/x", id: "r1", body: "x"})
 	assert.Equal(t, 200, response.StatusCode)
 	assert.Equal(t, "answer to r1", body)
@@ -549,7 +557,7 @@
 	_, err := fmt.Sscan(response.Header.Get("Retry-After"), &seconds)
 	require.NoError(t, err)
 	assert.Less(t, seconds, 0.1)
-	assert.Empty(t, b.model.Runs())
+	assert.Empty(t, b.model.ReceivedRequests())
 	// Requests that need no store are served.
 	response, _ = i.mustSend(callerRequest{path: "/post/x", id: "r1", body: "x"})
 	assert.Equal(t, 200, response.StatusCode)
@@ -603,7 +611,7 @@
 	assert.Equal(t, 503, response.StatusCode)
 	assert.Contains(t, body, "StoreAway")
 	assert.NotEmpty(t, response.Header.Get("Retry-After"))
-	assert.Empty(t, b.model.Runs())
+	assert.Empty(t, b.model.ReceivedRequests())
 }
 
 // Guards against requests that an instance breaks off when it stops while it
@@ -613,7 +621,7 @@
 func TestGracefulStopCompletesRequests(t *testing.T) {
 	b := newFixture(t)
 	i := b.startInstance()
-	b.tool.Pause = 100 * time.Millisecond
+	b.tool.EventDelay = 100 * time.Millisecond
 	balancer := platformtest.NewBalancer(i.Ready)
 	var failed, served atomic.Int32
 	done := make(chan struct{})
@@ -655,15 +663,15 @@
 func TestConfigurationChangeTakesEffect(t *testing.T) {
 	b := newFixture(t)
 	i := b.startInstance()
-	platformtest.Configure(b.memory, bytes.ReplaceAll(platformtest.Configuration(4), []byte("/look/"), []byte("/seek/")))
+	platformtest.PutConfiguration(b.memory, bytes.ReplaceAll(platformtest.Configuration(4), []byte("/look/"), []byte("/seek/")))
 	require.Eventually(t, func() bool {
 		response, _ := i.mustSend(callerRequest{path: "/seek/x", id: "r1"})
 		return response.StatusCode == 200
 	}, time.Second, 10*time.Millisecond)
 	response, _ := i.mustSend(callerRequest{path: "/look/x", id: "r2"})
 	assert.Equal(t, 404, response.StatusCode)
-	platformtest.Configure(b.memory, []byte(`{"version":`))
-	platformtest.Configure(b.memory, platformtest.Configuration(2))
+	platformtest.PutConfiguration(b.memory, []byte(`{"version":`))
+	platformtest.PutConfiguration(b.memory, platformtest.Configuration(2))
 	time.Sleep(100 * time.Millisecond)
 	response, _ = i.mustSend(callerRequest{path: "/seek/x", id: "r3"})
 	assert.Equal(t, 200, response.StatusCode, "neither a malformed nor an older configuration takes effect")
@@ -676,7 +684,7 @@
 	b := newFixture(t)
 	i := b.startInstance()
 	i.MaxBodyBytes = 100_000
-	b.tool.Pause = 200 * time.Millisecond
+	b.tool.EventDelay = 200 * time.Millisecond
 	var served, refused atomic.Int32
 	done := make(chan struct{})
 	for n := range 6 {
@@ -735,10 +743,10 @@
 	i := b.startInstance()
 	b.tool.Register(b.memory, "a", "draining")
 	time.Sleep(100 * time.Millisecond)
-	before := len(b.tool.Runs())
+	before := len(b.tool.ReceivedRequests())
 	for n := range 10 {
 		response, _ := i.mustSend(callerRequest{path: "/post/x", id: fmt.Sprint("r", n), body: "x"})
 		assert.Equal(t, 200, response.StatusCode)
 	}
-	assert.Len(t, b.tool.Runs(), before)
+	assert.Len(t, b.tool.ReceivedRequests(), before)
 }
--- a/gateway/organisation_test.go
+++ b/gateway/organisation_test.go
@@ -48,7 +48,7 @@
 
 // configure stores a version of the configuration that has the organisations.
 func (b *fixture) configure(version int, organisations ...platformtest.Organisation) {
-	platformtest.Configure(b.memory, platformtest.WithOrganisations(platformtest.Configuration(version), organisations...))
+	platformtest.PutConfiguration(b.memory, platformtest.WithOrganisations(platformtest.Configuration(version), organisations...))
 }
 
 // withKey returns a copy of header with the organisation key added.
@@ -71,7 +71,7 @@
 		response, _ := i.mustSend(callerRequest{path: "/post/x", id: fmt.Sprint("r", n), body: "b", header: withKey(key, map[string]string{"X-Tenant": "other"})})
 		require.Equal(t, 200, response.StatusCode)
 	}
-	runs := b.tool.Runs()
+	runs := b.tool.ReceivedRequests()
 	require.Len(t, runs, 3)
 	for n, name := range []string{"x", "x", "y"} {
 		assert.Equal(t, name, runs[n].Organisation)
@@ -102,7 +102,7 @@
 	}
 	response, _ := i.mustSend(callerRequest{path: "/look/x", id: "open", header: map[string]string{"X-Tenant": "x"}})
 	assert.Equal(t, 200, response.StatusCode)
-	runs := b.tool.Runs()
+	runs := b.tool.ReceivedRequests()
 	assert.Empty(t, runs[len(runs)-1].Organisation, "a caller without a key belongs to no organisation")
 }
 
@@ -124,7 +124,7 @@
 	}
 	response, _ = second.mustSend(callerRequest{path: "/keep/x", id: "t2", body: "two", header: withKey("secret-x2", turnHeaders("p", map[string]string{"X-Previous-Turn": "t1"}))})
 	assert.Equal(t, 200, response.StatusCode, "any key of the organisation continues the conversation, and its budget is separate")
-	for _, run := range b.model.Runs() {
+	for _, run := range b.model.ReceivedRequests() {
 		assert.NotEqual(t, "guess", run.ID)
 	}
 }
@@ -176,7 +176,7 @@
 		assert.Equal(t, 200, response.StatusCode, extra)
 		require.NoError(t, connection.Close())
 	}
-	for _, run := range b.tool.Runs() {
+	for _, run := range b.tool.ReceivedRequests() {
 		assert.Equal(t, "x", run.Organisation, run.ID)
 		assert.Empty(t, run.Key, run.ID)
 	}
--- a/gateway/outage_test.go
+++ b/gateway/outage_test.go
@@ -82,7 +82,7 @@
 // because the store is unavailable for longer than the caller's event timeout.
 func TestPartialGrantSurvivesStoreOutage(t *testing.T) {
 	b := newFixture(t)
-	b.model.Events, b.model.Pause = 21, 10*time.Millisecond // of 27 tokens each: the maximum of the turn
+	b.model.Events, b.model.EventDelay = 21, 10*time.Millisecond // of 27 tokens each: the maximum of the turn
 	logs := &lockedBuffer{}
 	b.logs = logs
 	i := b.startInstance()
@@ -129,8 +129,8 @@
 // an event was held back that could have kept it connected.
 func TestWithheldEventKeepsCallerDuringPause(t *testing.T) {
 	b := newFixture(t)
-	b.model.Behave(func(*platformtest.Run) platformtest.Behaviour {
-		return platformtest.Behaviour{Stall: 2400 * time.Millisecond}
+	b.model.SetBehaviour(func(*platformtest.ReceivedRequest) platformtest.Behaviour {
+		return platformtest.Behaviour{StallAfterFirst: 2400 * time.Millisecond}
 	})
 	i := b.startInstance()
 	require.NoError(t, i.accounts.AcquireOnce(context.Background(), singleInstance{}, false))
--- a/gateway/quota_test.go
+++ b/gateway/quota_test.go
@@ -34,7 +34,7 @@
 	assert.LessOrEqual(t, statuses[200], 5)
 	assert.GreaterOrEqual(t, statuses[200], 3)
 	assert.Equal(t, 10, statuses[200]+statuses[429])
-	assert.Len(t, b.tool.Runs(), statuses[200], "refused requests must not run")
+	assert.Len(t, b.tool.ReceivedRequests(), statuses[200], "refused requests must not run")
 	response, _ := i.mustSend(callerRequest{path: "/post/x", id: "y", body: "b", header: withKey("secret-y", nil)})
 	assert.Equal(t, 200, response.StatusCode)
 	assert.Contains(t, logs.String(), "rate 1/s, burst 3 of version 4")
@@ -44,14 +44,16 @@
 func TestRequestNotRunReturnsQuota(t *testing.T) {
 	b := newFixture(t)
 	b.configure(4, platformtest.Organisation{Name: "x", Keys: []string{"secret-x"}, Rate: 0.5, Burst: 2})
-	b.tool.Behave(func(*platformtest.Run) platformtest.Behaviour { return platformtest.Behaviour{Full: true} })
+	b.tool.SetBehaviour(func(*platformtest.ReceivedRequest) platformtest.Behaviour {
+		return platformtest.Behaviour{RejectFull: true}
+	})
 	i := b.startInstance()
 	time.Sleep(4200 * time.Millisecond)
 	for n := range 12 {
 		response, _ := i.mustSend(callerRequest{path: "/post/x", id: fmt.Sprint("full", n), body: "b", header: withKey("secret-x", nil)})
 		require.Equal(t, 503, response.StatusCode)
 	}
-	b.tool.Behave(func(*platformtest.Run) platformtest.Behaviour { return platformtest.Behaviour{} })
+	b.tool.SetBehaviour(func(*platformtest.ReceivedRequest) platformtest.Behaviour { return platformtest.Behaviour{} })
 	response, _ := i.mustSend(callerRequest{path: "/post/x", id: "served", body: "b", header: withKey("secret-x", nil)})
 	assert.Equal(t, 200, response.StatusCode)
 }
--- a/soak/check_test.go
+++ b/soak/check_test.go
@@ -14,7 +14,7 @@
 
 // run is one request that an endpoint worked on.
 type run struct {
-	platformtest.Run
+	platformtest.ReceivedRequest
 	endpoint string
 	service  string
 }
@@ -23,8 +23,8 @@
 func (s *site) runsByID() map[string][]run {
 	runs := map[string][]run{}
 	for _, e := range s.all() {
-		for _, r := range e.Runs() {
-			runs[r.ID] = append(runs[r.ID], run{Run: r, endpoint: e.ID, service: e.Service})
+		for _, r := range e.ReceivedRequests() {
+			runs[r.ID] = append(runs[r.ID], run{ReceivedRequest: r, endpoint: e.ID, service: e.Service})
 		}
 	}
 	return runs
--- a/soak/fault_test.go
+++ b/soak/fault_test.go
@@ -53,17 +53,17 @@
 		ends.Wait()
 	}},
 	{name: "store turns one away", inject: func(s *site, f *front, draw uint64, d time.Duration) {
-		f.door.Set(modes[draw%uint64(len(modes))])
+		f.door.SetMode(modes[draw%uint64(len(modes))])
 		time.Sleep(d)
-		f.door.Set(platformtest.Open)
+		f.door.SetMode(platformtest.Serving)
 	}},
 	{name: "store away", inject: func(s *site, _ *front, draw uint64, d time.Duration) {
 		for _, f := range s.fronts {
-			f.door.Set(modes[draw%uint64(len(modes))])
+			f.door.SetMode(modes[draw%uint64(len(modes))])
 		}
 		time.Sleep(d)
 		for _, f := range s.fronts {
-			f.door.Set(platformtest.Open)
+			f.door.SetMode(platformtest.Serving)
 		}
 	}},
 	{name: "store slow", inject: func(s *site, _ *front, _ uint64, d time.Duration) {
@@ -98,7 +98,7 @@
 }
 
 // modes are the ways in which a store turns instances away.
-var modes = []platformtest.Mode{platformtest.Busy, platformtest.Many, platformtest.Reset, platformtest.Silent}
+var modes = []platformtest.StoreMode{platformtest.ServiceUnavailable, platformtest.TooManyRequests, platformtest.ResetConnections, platformtest.IgnoreRequests}
 
 // disturb disturbs the connections through a proxy in one of its ways.
 func (proxy *proxy) disturb(draw uint64, d time.Duration) {
--- a/soak/outage_test.go
+++ b/soak/outage_test.go
@@ -53,31 +53,31 @@
 // outage is a kind of failure of the store.
 type outage struct {
 	name string
-	mode platformtest.Mode
+	mode platformtest.StoreMode
 	// some: two of the instances are turned away only.
 	some bool
 	// partly: half of the partitions are away only.
 	partly bool
 	// others is what the other instances meet in half of the partitions.
-	others platformtest.Mode
+	others platformtest.StoreMode
 	// lapse: the entries of the endpoints lapse meanwhile.
 	lapse bool
 }
 
 // allOutages begins with those that CI plays: each kind of trouble once.
 var allOutages = []outage{
-	{name: "resets, entries lapse", mode: platformtest.Reset, lapse: true},
-	{name: "silent for some instances, busy in half of the partitions for others", mode: platformtest.Silent, some: true, others: platformtest.Busy},
-	{name: "busy for half of the partitions", mode: platformtest.Busy, partly: true},
-	{name: "silent for some instances", mode: platformtest.Silent, some: true},
-	{name: "silent, entries lapse", mode: platformtest.Silent, lapse: true},
-	{name: "does all and never answers", mode: platformtest.Mute},
-	{name: "busy, entries lapse", mode: platformtest.Busy, lapse: true},
-	{name: "too many calls", mode: platformtest.Many},
-	{name: "resets for some instances", mode: platformtest.Reset, some: true},
-	{name: "silent for half of the partitions", mode: platformtest.Silent, partly: true},
-	{name: "does all and never answers some instances", mode: platformtest.Mute, some: true},
-	{name: "busy for some instances and half of the partitions", mode: platformtest.Busy, some: true, partly: true},
+	{name: "resets, entries lapse", mode: platformtest.ResetConnections, lapse: true},
+	{name: "silent for some instances, busy in half of the partitions for others", mode: platformtest.IgnoreRequests, some: true, others: platformtest.ServiceUnavailable},
+	{name: "busy for half of the partitions", mode: platformtest.ServiceUnavailable, partly: true},
+	{name: "silent for some instances", mode: platformtest.IgnoreRequests, some: true},
+	{name: "silent, entries lapse", mode: platformtest.IgnoreRequests, lapse: true},
+	{name: "does all and never answers", mode: platformtest.DropResponses},
+	{name: "busy, entries lapse", mode: platformtest.ServiceUnavailable, lapse: true},
+	{name: "too many calls", mode: platformtest.TooManyRequests},
+	{name: "resets for some instances", mode: platformtest.ResetConnections, some: true},
+	{name: "silent for half of the partitions", mode: platformtest.IgnoreRequests, partly: true},
+	{name: "does all and never answers some instances", mode: platformtest.DropResponses, some: true},
+	{name: "busy for some instances and half of the partitions", mode: platformtest.ServiceUnavailable, some: true, partly: true},
 }
 
 // Guards against turns lost, budgets exceeded and requests run twice when a home dies in an outage and all instances after it.
@@ -131,7 +131,7 @@
 // awaitEscrow waits until all instances have escrow.
 func (s *site) awaitEscrow() {
 	for _, f := range s.fronts {
-		require.Eventually(s.t, func() bool { return strings.Contains(f.Logged(), "escrow acquired") }, escrowTime, 20*time.Millisecond, "%s: %s", f.Name, tail(f.Logged()))
+		require.Eventually(s.t, func() bool { return strings.Contains(f.ReadLog(), "escrow acquired") }, escrowTime, 20*time.Millisecond, "%s: %s", f.Name, tail(f.ReadLog()))
 	}
 }
 
@@ -182,11 +182,11 @@
 	for _, f := range s.fronts {
 		switch {
 		case !slices.Contains(away, f):
-			f.door.SetPartly(outage.others, half)
+			f.door.SetModeForPartitions(outage.others, half)
 		case outage.partly:
-			f.door.SetPartly(outage.mode, half)
+			f.door.SetModeForPartitions(outage.mode, half)
 		default:
-			f.door.Set(outage.mode)
+			f.door.SetMode(outage.mode)
 		}
 	}
 	if outage.lapse {
@@ -200,7 +200,7 @@
 // tells the end of.
 func (outage *outage) end(s *site, rng *rand.Rand, back *sync.WaitGroup) {
 	for _, f := range s.fronts {
-		f.door.Set(platformtest.Open)
+		f.door.SetMode(platformtest.Serving)
 	}
 	if !outage.lapse {
 		return
--- a/soak/roll_test.go
+++ b/soak/roll_test.go
@@ -63,7 +63,7 @@
 		for _, f := range fronts {
 			stops.Go(func() {
 				s.restart(f, syscall.SIGTERM, 100*time.Millisecond)
-				assert.Eventually(t, f.IsReady, 10*time.Second, 20*time.Millisecond, "%s", tail(f.Logged()))
+				assert.Eventually(t, f.IsReady, 10*time.Second, 20*time.Millisecond, "%s", tail(f.ReadLog()))
 			})
 			time.Sleep(time.Duration(seed%4) * 200 * time.Millisecond) // overlapping, not at once
 		}
--- a/soak/site_test.go
+++ b/soak/site_test.go
@@ -49,8 +49,8 @@
 
 // front is an entry instance, with its own way to the store.
 type front struct {
-	*platformtest.Front
-	door  *platformtest.Door
+	*platformtest.FrontProcess
+	door  *platformtest.StoreServer
 	proxy *proxy
 	// life is held by whoever stops or starts the process.
 	life sync.Mutex
@@ -77,20 +77,20 @@
 	}
 	dir := t.TempDir()
 	for n := range frontCount {
-		door := platformtest.NewDoor(s.memory)
+		door := platformtest.NewStoreServer(s.memory)
 		t.Cleanup(door.Close)
 		p, err := newProxy(door.Address())
 		require.NoError(t, err)
 		t.Cleanup(p.close)
-		process, err := platformtest.NewFront(dir, fmt.Sprintf("front-%d", n+1), dataCentres[n%len(dataCentres)], p.address())
+		process, err := platformtest.NewFrontProcess(dir, fmt.Sprintf("front-%d", n+1), dataCentres[n%len(dataCentres)], p.address())
 		require.NoError(t, err)
-		f := &front{Front: process, door: door, proxy: p}
+		f := &front{FrontProcess: process, door: door, proxy: p}
 		require.NoError(t, f.Start())
 		t.Cleanup(f.Kill)
 		s.fronts = append(s.fronts, f)
 	}
 	for _, f := range s.fronts {
-		require.Eventually(t, f.IsReady, 10*time.Second, 10*time.Millisecond, "%s: %s", f.Name, f.Logged())
+		require.Eventually(t, f.IsReady, 10*time.Second, 10*time.Millisecond, "%s: %s", f.Name, f.ReadLog())
 	}
 	return s
 }
@@ -109,7 +109,7 @@
 	if s.organisations {
 		document = platformtest.WithOrganisations(document, s.organisationsLocked()...)
 	}
-	platformtest.Configure(s.memory, document)
+	platformtest.PutConfiguration(s.memory, document)
 	return s.version
 }
 
@@ -121,8 +121,8 @@
 	s.named++
 	e := &endpoint{Endpoint: platformtest.NewEndpoint(fmt.Sprintf("e%d", s.named), map[bool]string{true: "model", false: "tool"}[model], model)}
 	s.t.Cleanup(e.Close)
-	e.Pause = 5 * time.Millisecond
-	e.Behave(s.behave(model))
+	e.EventDelay = 5 * time.Millisecond
+	e.SetBehaviour(s.behave(model))
 	if before != nil {
 		e.proxy = before.proxy
 		e.proxy.retarget(e.Address())
@@ -140,17 +140,17 @@
 }
 
 // behave draws what endpoints do with each request.
-func (s *site) behave(model bool) func(*platformtest.Run) platformtest.Behaviour {
-	return func(*platformtest.Run) platformtest.Behaviour {
+func (s *site) behave(model bool) func(*platformtest.ReceivedRequest) platformtest.Behaviour {
+	return func(*platformtest.ReceivedRequest) platformtest.Behaviour {
 		s.mu.Lock()
 		defer s.mu.Unlock()
 		if s.rng.Float64() >= s.failing {
 			return platformtest.Behaviour{}
 		}
 		if !model {
-			return []platformtest.Behaviour{{Full: true}, {Lose: true}, {Foreign: true}, {Status: 500}}[s.rng.IntN(4)]
+			return []platformtest.Behaviour{{RejectFull: true}, {DropResponse: true}, {StaleResponse: true}, {Status: 500}}[s.rng.IntN(4)]
 		}
-		return []platformtest.Behaviour{{Full: true}, {Lose: true}, {BreakAfter: -1}, {BreakAfter: 1}, {BreakAfter: 2}}[s.rng.IntN(5)]
+		return []platformtest.Behaviour{{RejectFull: true}, {DropResponse: true}, {ResetAfter: -1}, {ResetAfter: 1}, {ResetAfter: 2}}[s.rng.IntN(5)]
 	}
 }
 
@@ -241,7 +241,7 @@
 	s.memory.SetFault(func(string, string) storetest.Fault { return storetest.None })
 	s.memory.ApplyLost()
 	for _, f := range s.fronts {
-		f.door.Set(platformtest.Open)
+		f.door.SetMode(platformtest.Serving)
 		f.door.Delay(0)
 		f.proxy.heal()
 	}
@@ -249,7 +249,7 @@
 		e.proxy.heal()
 	}
 	for _, f := range s.fronts {
-		require.Eventually(s.t, f.IsReady, 15*time.Second, 20*time.Millisecond, "%s is not ready: %s", f.Name, tail(f.Logged()))
+		require.Eventually(s.t, f.IsReady, 15*time.Second, 20*time.Millisecond, "%s is not ready: %s", f.Name, tail(f.ReadLog()))
 	}
 }
 
--- a/soak/soak_test.go
+++ b/soak/soak_test.go
@@ -111,7 +111,7 @@
 	leaving := s.living("model")[0]
 	leaving.Register(s.memory, "a", "draining")
 	time.Sleep(2 * time.Second)
-	before := len(leaving.Runs())
+	before := len(leaving.ReceivedRequests())
 	c := newCaller(s, b, seed, callerCount)
 	ctx := context.Background()
 	for i, previous := range turns {
@@ -127,7 +127,7 @@
 	for _, f := range s.fronts {
 		assert.Contains(s.t, f.state(), fmt.Sprintf(`"configuration": %d`, version), f.Name)
 	}
-	assert.Len(s.t, leaving.Runs(), before, "a leaving endpoint got work")
+	assert.Len(s.t, leaving.ReceivedRequests(), before, "a leaving endpoint got work")
 }
 
 // checkServes checks that every front serves each kind of request of programs
@@ -154,6 +154,6 @@
 // keepLogs writes the instances' logs into the folder for them.
 func (s *site) keepLogs(run string) {
 	for _, f := range s.fronts {
-		s.check(os.WriteFile(filepath.Join(*logs, fmt.Sprintf("%s-%s.log", run, f.Name)), []byte(f.Logged()), 0o600))
+		s.check(os.WriteFile(filepath.Join(*logs, fmt.Sprintf("%s-%s.log", run, f.Name)), []byte(f.ReadLog()), 0o600))
 	}
 }
--- a/systemtest/front_test.go
+++ b/systemtest/front_test.go
@@ -34,8 +34,8 @@
 
 // frontProcess is one entry instance with its own way to the store.
 type frontProcess struct {
-	*platformtest.Front
-	door *platformtest.Door
+	*platformtest.FrontProcess
+	door *platformtest.StoreServer
 }
 
 func newSite(t *testing.T, fronts int) *site {
@@ -43,15 +43,15 @@
 	s := &site{t: t, dir: t.TempDir(), memory: storetest.New(), model: platformtest.NewEndpoint("i-model", "model", true), tool: platformtest.NewEndpoint("i-tool", "tool", false)}
 	t.Cleanup(s.model.Close)
 	t.Cleanup(s.tool.Close)
-	platformtest.Configure(s.memory, platformtest.Configuration(3))
+	platformtest.PutConfiguration(s.memory, platformtest.Configuration(3))
 	s.model.Register(s.memory, "a", "ready")
 	s.tool.Register(s.memory, "a", "ready")
 	for n := range fronts {
-		door := platformtest.NewDoor(s.memory)
+		door := platformtest.NewStoreServer(s.memory)
 		t.Cleanup(door.Close)
-		front, err := platformtest.NewFront(s.dir, fmt.Sprintf("front-%d", n+1), "a", door.Address())
+		front, err := platformtest.NewFrontProcess(s.dir, fmt.Sprintf("front-%d", n+1), "a", door.Address())
 		require.NoError(t, err)
-		f := &frontProcess{Front: front, door: door}
+		f := &frontProcess{FrontProcess: front, door: door}
 		s.fronts = append(s.fronts, f)
 		s.start(f)
 	}
@@ -111,7 +111,7 @@
 			f := s.fronts[(program+round)%len(s.fronts)]
 			status, _, err := f.post(alone(), "/keep/x", id, fmt.Sprintf("question %d ", round), turnHeader(fmt.Sprint("p", program), last[program]))
 			require.NoError(t, err)
-			require.Equal(t, http.StatusOK, status, "%s", f.Logged())
+			require.Equal(t, http.StatusOK, status, "%s", f.ReadLog())
 			last[program] = id
 		}
 	}
@@ -125,7 +125,7 @@
 		s.start(f)
 	}
 	talk(3)
-	for _, run := range s.model.Runs() {
+	for _, run := range s.model.ReceivedRequests() {
 		var want strings.Builder
 		program, rounds := 0, 0
 		_, err := fmt.Sscanf(run.ID, "p%d-t%d", &program, &rounds)
@@ -163,12 +163,12 @@
 		header["X-Prompt-Prefix"] = "s1:40,c1:60"
 		status, _, err := s.fronts[round%2].post(alone(), "/keep/x", id, "x", header)
 		require.NoError(t, err)
-		require.Equal(t, http.StatusOK, status, "%s", s.fronts[round%2].Logged())
+		require.Equal(t, http.StatusOK, status, "%s", s.fronts[round%2].ReadLog())
 		previous = id
 		time.Sleep(60 * time.Millisecond) // its home learns who served the turn
 	}
 	assert.Less(t, reads.Load(), int32(rounds-1))
-	runs := s.model.Runs()
+	runs := s.model.ReceivedRequests()
 	assert.Contains(t, runs[len(runs)-1].Body, platformtest.Data("t0", 1))
 }
 
@@ -179,7 +179,7 @@
 func TestStoppedProcessAnswersWhatItTook(t *testing.T) {
 	s := newSite(t, 1)
 	f := s.fronts[0]
-	s.tool.Pause = 100 * time.Millisecond
+	s.tool.EventDelay = 100 * time.Millisecond
 	balancer := platformtest.NewBalancer(f.IsReady)
 	var lost, answered atomic.Int32
 	var callers sync.WaitGroup
@@ -209,11 +209,11 @@
 	exit, err := f.Wait()
 	require.NoError(t, err)
 	callers.Wait()
-	assert.Zero(t, exit, "%s", f.Logged())
+	assert.Zero(t, exit, "%s", f.ReadLog())
 	assert.Less(t, time.Since(began), 8*time.Second)
 	assert.Zero(t, lost.Load())
 	assert.Greater(t, answered.Load(), int32(60))
-	assert.Len(t, s.tool.Runs(), int(answered.Load()))
+	assert.Len(t, s.tool.ReceivedRequests(), int(answered.Load()))
 }
 
 // Settings that change, with and without a signal, and ones that are broken,
@@ -225,9 +225,9 @@
 	require.NoError(t, err)
 	require.NoError(t, os.WriteFile(f.Settings, []byte(strings.Replace(string(text), "ram-mb = 154", "ram-mb = 200", 1)), 0o600))
 	require.NoError(t, f.Signal(syscall.SIGHUP))
-	require.Eventually(t, func() bool { return strings.Contains(f.Logged(), "settings changed") }, 3*time.Second, 20*time.Millisecond)
+	require.Eventually(t, func() bool { return strings.Contains(f.ReadLog(), "settings changed") }, 3*time.Second, 20*time.Millisecond)
 	require.NoError(t, os.WriteFile(f.Settings, []byte("node = "), 0o600))
-	require.Eventually(t, func() bool { return strings.Contains(f.Logged(), "settings refused") }, 5*time.Second, 20*time.Millisecond)
+	require.Eventually(t, func() bool { return strings.Contains(f.ReadLog(), "settings refused") }, 5*time.Second, 20*time.Millisecond)
 	status, _, err := f.post(alone(), "/post/x", "r1", "x", nil)
 	require.NoError(t, err)
 	assert.Equal(t, http.StatusOK, status)
@@ -268,11 +268,11 @@
 	_, err = pipe.Write(text)
 	require.NoError(t, err)
 	require.NoError(t, pipe.Close())
-	require.Eventually(t, f.IsReady, 5*time.Second, 10*time.Millisecond, "%s", f.Logged())
+	require.Eventually(t, f.IsReady, 5*time.Second, 10*time.Millisecond, "%s", f.ReadLog())
 }
 
 func TestBadSettingsEndTheProcess(t *testing.T) {
-	bin, err := platformtest.Build()
+	bin, err := platformtest.BuildBinary()
 	require.NoError(t, err)
 	path := filepath.Join(t.TempDir(), "node.toml")
 	require.NoError(t, os.WriteFile(path, []byte("node = \"n\"\n"), 0o600))
@@ -291,14 +291,14 @@
 	s := newSite(t, 2)
 	time.Sleep(200 * time.Millisecond) // they find each other
 	shut := s.fronts[0]
-	for n, mode := range []platformtest.Mode{platformtest.Busy, platformtest.Silent, platformtest.Reset} {
-		shut.door.Set(mode)
+	for n, mode := range []platformtest.StoreMode{platformtest.ServiceUnavailable, platformtest.IgnoreRequests, platformtest.ResetConnections} {
+		shut.door.SetMode(mode)
 		for turn := range 3 {
 			status, _, err := shut.post(alone(), "/keep/x", fmt.Sprintf("t%d-%d", n, turn), "x", turnHeader(fmt.Sprintf("p%d-%d", n, turn), ""))
-			require.NoError(t, err, "%s", shut.Logged())
-			require.Equal(t, http.StatusOK, status, "%s", shut.Logged())
+			require.NoError(t, err, "%s", shut.ReadLog())
+			require.Equal(t, http.StatusOK, status, "%s", shut.ReadLog())
 		}
-		shut.door.Set(platformtest.Open)
+		shut.door.SetMode(platformtest.Serving)
 		time.Sleep(500 * time.Millisecond)
 	}
 }
--- a/systemtest/load_test.go
+++ b/systemtest/load_test.go
@@ -53,7 +53,7 @@
 
 // startFleet starts the processes that load.WriteFleet listed in dir.
 func startFleet(t *testing.T, dir string) *fleet {
-	bin, err := platformtest.Build()
+	bin, err := platformtest.BuildBinary()
 	require.NoError(t, err)
 	f := &fleet{t: t, bin: bin, dir: dir, procs: map[string]*exec.Cmd{}}
 	t.Cleanup(f.stopAll)
--- a/systemtest/process_test.go
+++ b/systemtest/process_test.go
@@ -39,7 +39,7 @@
 }
 
 func newFleet(t *testing.T, leaseTTL time.Duration) *fleet {
-	bin, err := platformtest.Build()
+	bin, err := platformtest.BuildBinary()
 	require.NoError(t, err)
 	f := &fleet{t: t, bin: bin, dir: t.TempDir(), procs: map[string]*exec.Cmd{}}
 	t.Cleanup(f.stopAll)
--- a/systemtest/stop_test.go
+++ b/systemtest/stop_test.go
@@ -41,7 +41,7 @@
 		"call": f.ask("/post/x", id+"-call", nil),
 		"turn": f.ask("/keep/x", id+"-turn", turnHeader(id, "")),
 	}
-	require.Eventually(s.t, func() bool { return len(s.tool.Runs()) > 0 && len(s.model.Runs()) > 0 }, 2*time.Second, 5*time.Millisecond)
+	require.Eventually(s.t, func() bool { return len(s.tool.ReceivedRequests()) > 0 && len(s.model.ReceivedRequests()) > 0 }, 2*time.Second, 5*time.Millisecond)
 	return answers
 }
 
@@ -51,19 +51,19 @@
 	s.t.Helper()
 	for name, answer := range answers {
 		a := <-answer
-		require.NoError(s.t, a.err, "%s: %s", name, f.Logged())
+		require.NoError(s.t, a.err, "%s: %s", name, f.ReadLog())
 		assert.Equal(s.t, http.StatusOK, a.status, "%s: %s", name, a.body)
 	}
 	exit, err := f.Wait()
 	require.NoError(s.t, err)
-	assert.Zero(s.t, exit, "%s", f.Logged())
+	assert.Zero(s.t, exit, "%s", f.ReadLog())
 }
 
 // Guards against requests cut off since an instance that drains gets a second signal to stop.
 func TestSecondSignalEndsDrainingProcess(t *testing.T) {
 	s := newSite(t, 1)
 	f := s.fronts[0]
-	s.tool.Pause, s.model.Pause = 900*time.Millisecond, 300*time.Millisecond
+	s.tool.EventDelay, s.model.EventDelay = 900*time.Millisecond, 300*time.Millisecond
 	answers := s.askBoth(f, "p")
 	for _, signal := range []syscall.Signal{syscall.SIGTERM, syscall.SIGTERM, syscall.SIGINT, syscall.SIGTERM} {
 		require.NoError(t, f.Signal(signal))
@@ -76,7 +76,7 @@
 func TestChangedSettingsCutDrainingProcess(t *testing.T) {
 	s := newSite(t, 1)
 	f := s.fronts[0]
-	s.tool.Pause, s.model.Pause = 900*time.Millisecond, 300*time.Millisecond
+	s.tool.EventDelay, s.model.EventDelay = 900*time.Millisecond, 300*time.Millisecond
 	answers := s.askBoth(f, "p")
 	text, err := os.ReadFile(f.Settings)
 	require.NoError(t, err)
@@ -87,13 +87,13 @@
 		time.Sleep(150 * time.Millisecond)
 	}
 	s.checkWhole(f, answers)
-	assert.Contains(t, f.Logged(), "settings refused")
+	assert.Contains(t, f.ReadLog(), "settings refused")
 }
 
 // Guards against requests cut off, or an entry left behind, since an instance is stopped while it still starts.
 func TestStopRightAfterStartLosesRequests(t *testing.T) {
 	s := newSite(t, 3)
-	s.tool.Pause = 400 * time.Millisecond
+	s.tool.EventDelay = 400 * time.Millisecond
 	var stops sync.WaitGroup
 	for n, f := range s.fronts {
 		f.Kill()
@@ -105,16 +105,16 @@
 			time.Sleep(time.Duration(5+n*n*100) * time.Millisecond)
 			assert.NoError(t, f.Signal(syscall.SIGTERM))
 			a := <-answer
-			assert.NoError(t, a.err, "%s", f.Logged())
+			assert.NoError(t, a.err, "%s", f.ReadLog())
 			assert.Equal(t, http.StatusOK, a.status, "%s", a.body)
 			exit, err := f.Wait()
 			assert.NoError(t, err)
-			assert.Zero(t, exit, "%s", f.Logged())
+			assert.Zero(t, exit, "%s", f.ReadLog())
 		})
 	}
 	stops.Wait()
 	for _, f := range s.fronts {
-		assert.NotContains(t, f.Logged(), "own entry not removed")
+		assert.NotContains(t, f.ReadLog(), "own entry not removed")
 	}
 	page, err := s.memory.Read(t.Context(), store.Range{Table: "entries", Limit: len(s.fronts)})
 	require.NoError(t, err)
@@ -136,12 +136,12 @@
 	for {
 		select {
 		case exit := <-ended:
-			assert.Zero(t, exit, "%s", f.Logged())
+			assert.Zero(t, exit, "%s", f.ReadLog())
 			return
 		case <-time.After(20 * time.Millisecond):
 			version++
-			platformtest.Configure(s.memory, platformtest.Configuration(version)) // what makes it ready at its start
-			require.False(t, f.IsReady(), fmt.Sprint(f.Logged()))
+			platformtest.PutConfiguration(s.memory, platformtest.Configuration(version)) // what makes it ready at its start
+			require.False(t, f.IsReady(), fmt.Sprint(f.ReadLog()))
 		}
 	}
 }
