--- a/settings/load.go
+++ b/settings/load.go
@@ -57,10 +57,10 @@
 	return (*T)(v), nil
 }
 
-// DecodeOpen decodes TOML text into v without validating it, and ignores unknown
+// DecodeLenient decodes TOML text into v without validating it, and ignores unknown
 // keys. It returns an *Error for a syntax error or a value of the wrong type. The
 // name stands for the path in errors.
-func DecodeOpen(name, data string, v any) error {
+func DecodeLenient(name, data string, v any) error {
 	if _, fault := decode(name, data, v); fault != nil {
 		return fault
 	}
