--- a/cmd/wagtaildrum/entry.go
+++ b/cmd/wagtaildrum/entry.go
@@ -43,8 +43,8 @@
 		return err
 	}
 	p.goroutine(ctx, e.WatchConfig)
-	p.goroutine(ctx, e.Tidy)
-	p.goroutine(ctx, e.MarkEnds)
+	p.goroutine(ctx, e.RunMaintenance)
+	p.goroutine(ctx, e.RunEndedLeases)
 	p.goroutine(peerCtx, e.WriteJournal)
 	p.goroutine(peerCtx, func(ctx context.Context, done chan<- error) { done <- srv.Serve(ctx) })
 	p.goroutine(ctx, func(ctx context.Context, done chan<- error) {
--- a/entry/leaseend.go
+++ b/entry/leaseend.go
@@ -30,9 +30,9 @@
 	}
 }
 
-// MarkEnds marks the leases of ended programs until ctx ends, then sends nil
+// RunEndedLeases marks the leases of ended programs until ctx ends, then sends nil
 // on done.
-func (e *Entry) MarkEnds(ctx context.Context, done chan<- error) {
+func (e *Entry) RunEndedLeases(ctx context.Context, done chan<- error) {
 	for {
 		select {
 		case <-ctx.Done():
--- a/entry/maintenance.go
+++ b/entry/maintenance.go
@@ -9,7 +9,7 @@
 )
 
 const (
-	// maintenanceInterval is the interval at which Tidy runs.
+	// maintenanceInterval is the interval at which RunMaintenance runs.
 	maintenanceInterval = time.Second
 	// endedRetention is how long an ended program stays in memory, so that
 	// later calls are refused as "program has ended" without a read from the
@@ -17,9 +17,9 @@
 	endedRetention = time.Minute
 )
 
-// Tidy periodically drops ended programs from memory and rewrites old journal
+// RunMaintenance periodically drops ended programs from memory and rewrites old journal
 // records, until ctx ends; then it reports on done.
-func (e *Entry) Tidy(ctx context.Context, done chan<- error) {
+func (e *Entry) RunMaintenance(ctx context.Context, done chan<- error) {
 	clock.Every(ctx, maintenanceInterval, func(time.Time) {
 		e.dropEnded()
 		e.rewriteLagging(ctx)
