--- a/entry/checkpoint.go
+++ b/entry/checkpoint.go
@@ -43,7 +43,7 @@
 
 // stageFull stages a full record. The caller must hold o.mu.
 func (e *Entry) stageFull(o *ownedProgram) {
-	e.stageRecord(o, func(l *program.Log, answer json.RawMessage) program.Checkpoint { return l.RecordWhole(o.prog, answer) })
+	e.stageRecord(o, func(l *program.Log, answer json.RawMessage) program.Checkpoint { return l.RecordFull(o.prog, answer) })
 }
 
 // persist waits until o's pending records are durable and returns a
@@ -84,7 +84,7 @@
 		return // another request for the same call has already done this
 	}
 	o.pending = nil
-	o.log.Committed(p.Checkpoint())
+	o.log.Advance(p.Checkpoint())
 	if o.restage {
 		o.restage = false
 		e.stageTurn(o)
--- a/entry/lease.go
+++ b/entry/lease.go
@@ -152,7 +152,7 @@
 	}
 	o.mu.Lock()
 	o.leaseVer, o.leaseExpires = newVer, time.UnixMilli(want.Expires)
-	o.prog.Refence(newVer)
+	o.prog.RaiseFence(newVer)
 	o.mu.Unlock()
 	return nil
 }
--- a/entry/owned.go
+++ b/entry/owned.go
@@ -50,7 +50,7 @@
 // record of it is known to be durable, and nil afterwards. The caller must
 // hold o.mu.
 func (o *ownedProgram) unloggedCreation() *newProgram {
-	if o.log.Started() {
+	if o.log.HasDurableRecord() {
 		return nil
 	}
 	return &newProgram{Spec: o.prog.Spec(), Created: o.prog.Created()}
--- a/journal/journal_test.go
+++ b/journal/journal_test.go
@@ -60,7 +60,7 @@
 	require.NoError(b.t, p.Begin(seq, 1, time.Unix(0, 0)))
 	p.Finish(seq, 1, program.Message{Role: "user", Content: text})
 	c := b.logs[id].Record(p, nil)
-	b.logs[id].Committed(&c)
+	b.logs[id].Advance(&c)
 	return b.writer.Append(journal.Record{Program: id, Epoch: epoch, Checkpoint: c})
 }
 
--- a/journal/references.go
+++ b/journal/references.go
@@ -29,7 +29,7 @@
 	p.users[number] = map[program.ID]struct{}{}
 	for i := range records {
 		r := &records[i]
-		if r.Checkpoint.Whole() {
+		if r.Checkpoint.Full() {
 			unused = append(unused, p.release(r.Program)...)
 		}
 		if _, ok := p.users[number][r.Program]; !ok {
--- a/program/log.go
+++ b/program/log.go
@@ -36,9 +36,9 @@
 	Answer json.RawMessage `json:"answer,omitempty"`
 }
 
-// Whole reports whether the record is full, so that a replay can start with
+// Full reports whether the record is full, so that a replay can start with
 // it.
-func (c *Checkpoint) Whole() bool { return c.Base == c.Index }
+func (c *Checkpoint) Full() bool { return c.Base == c.Index }
 
 // Log determines the contents of each checkpoint record of one program. The
 // first record of a new Log is full. The zero value is an empty log.
@@ -51,19 +51,19 @@
 	loggedMessages int
 }
 
-// Started reports whether at least one record is durable.
-func (l *Log) Started() bool { return l.nextIndex > 0 }
+// HasDurableRecord reports whether at least one record is durable.
+func (l *Log) HasDurableRecord() bool { return l.nextIndex > 0 }
 
 // Record returns the next record, which brings the log up to date with p. The
-// log advances only when Committed is called after the record has become
+// log advances only when Advance is called after the record has become
 // durable; until then Record returns the same index.
 func (l *Log) Record(p *Program, answer json.RawMessage) Checkpoint {
 	return l.record(p, answer, l.nextIndex == 0 || l.nextIndex-l.fullIndex >= fullRecordInterval)
 }
 
-// RecordWhole returns the next record as a full one, which makes all records
+// RecordFull returns the next record as a full one, which makes all records
 // before it redundant.
-func (l *Log) RecordWhole(p *Program, answer json.RawMessage) Checkpoint {
+func (l *Log) RecordFull(p *Program, answer json.RawMessage) Checkpoint {
 	return l.record(p, answer, true)
 }
 
@@ -86,9 +86,9 @@
 	return c
 }
 
-// Committed advances the log past record c, which has become durable.
-func (l *Log) Committed(c *Checkpoint) {
-	if c.Whole() {
+// Advance advances the log past record c, which has become durable.
+func (l *Log) Advance(c *Checkpoint) {
+	if c.Full() {
 		l.loggedMessages = len(c.Messages)
 	} else {
 		l.loggedMessages += len(c.Messages)
@@ -120,9 +120,9 @@
 		switch {
 		case c.Spec.ID != id:
 			return nil, nil, &LogError{program: id, detail: fmt.Sprintf("record %d belongs to %q", c.Index, c.Spec.ID)}
-		case i == 0 && !c.Whole():
+		case i == 0 && !c.Full():
 			return nil, nil, &LogError{program: id, detail: fmt.Sprintf("first record %d is not a full record", c.Index)}
-		case i > 0 && (c.Index != records[i-1].Index+1 || c.Whole()):
+		case i > 0 && (c.Index != records[i-1].Index+1 || c.Full()):
 			return nil, nil, &LogError{program: id, detail: fmt.Sprintf("record %d follows record %d; a record is missing or repeated", c.Index, records[i-1].Index)}
 		}
 		history = append(history, c.Messages...)
--- a/program/log_test.go
+++ b/program/log_test.go
@@ -24,8 +24,8 @@
 	write := func() program.Checkpoint {
 		c := log.Record(p, nil)
 		store[c.Index] = c
-		log.Committed(&c)
-		if c.Whole() {
+		log.Advance(&c)
+		if c.Full() {
 			clear(store)
 			store[c.Index] = c
 		}
--- a/program/program.go
+++ b/program/program.go
@@ -103,9 +103,9 @@
 // owned.
 func (p *Program) Fence() uint64 { return p.fence }
 
-// Refence sets the fencing token after a renewal of the owner's lease. Tokens
+// RaiseFence sets the fencing token after a renewal of the owner's lease. Tokens
 // only grow: a token lower than the current one is ignored.
-func (p *Program) Refence(fence uint64) {
+func (p *Program) RaiseFence(fence uint64) {
 	p.fence = max(p.fence, fence)
 }
 
