--- a/entry/dispatch.go
+++ b/entry/dispatch.go
@@ -101,14 +101,14 @@
 	ep := choice.Endpoint()
 	res := dispatchResult{endpoint: ep.Name}
 	var report *routing.Report
-	call.Anchors, call.SeenReport = req.AnchorHashes(), choice.Seen()
+	call.Anchors, call.SeenReport = req.AnchorHashes(), choice.LastReport()
 	sent, err := e.peers.Do(ctx, ep.Sidecar, call, func(f peer.Frame) error {
 		if f.Report != nil {
 			report = reportOf(f.Report)
 		}
 		switch f.Type {
 		case peer.FrameData:
-			e.router.First(choice)
+			e.router.FirstToken(choice)
 			return into.write(f.Data)
 		case peer.FrameEnd:
 			res.outcome = outcomeDone
@@ -132,7 +132,7 @@
 	case res.outcome == outcomeRefused:
 		e.refused(ep.Name, &res)
 	}
-	e.router.Done(choice, routing.Outcome{Ran: res.outcome == outcomeDone, Cached: into.cachedTokens(), Report: report})
+	e.router.Done(choice, routing.Outcome{Completed: res.outcome == outcomeDone, Cached: into.cachedTokens(), Report: report})
 	return res
 }
 
--- a/routing/router.go
+++ b/routing/router.go
@@ -159,9 +159,9 @@
 // Endpoint returns the configuration of the chosen endpoint.
 func (c *Choice) Endpoint() config.Endpoint { return c.spec }
 
-// Seen returns the sequence number of the latest report received from the
+// LastReport returns the sequence number of the latest report received from the
 // endpoint at the time of the choice.
-func (c *Choice) Seen() uint64 { return c.reportAtPick }
+func (c *Choice) LastReport() uint64 { return c.reportAtPick }
 
 // Pick selects an endpoint for req and counts the call as in flight there. It
 // leaves out endpoints for which skip returns true, such as those that just
@@ -231,9 +231,9 @@
 	return nil
 }
 
-// First records that the call's first output token arrived, which ends the
+// FirstToken records that the call's first output token arrived, which ends the
 // prefill of its prompt.
-func (r *Router[P]) First(c *Choice) {
+func (r *Router[P]) FirstToken(c *Choice) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.promptProcessed(c)
@@ -250,8 +250,8 @@
 
 // Outcome describes how a call ended.
 type Outcome struct {
-	// Ran reports whether the endpoint returned a complete response.
-	Ran bool
+	// Completed reports whether the endpoint returned a complete response.
+	Completed bool
 	// Cached is the number of prompt tokens that the endpoint reported as
 	// cached.
 	Cached int
@@ -282,7 +282,7 @@
 	if r.byName[ep.Name()] != ep {
 		return // the endpoint was removed or replaced during the call
 	}
-	if out.Ran {
+	if out.Completed {
 		ep.recordServiceTime(now.Sub(c.started))
 		if len(c.req.Prompt) > 0 {
 			// The endpoint has now prefilled and cached the full prompt,
--- a/routing/router_bench_test.go
+++ b/routing/router_bench_test.go
@@ -42,7 +42,7 @@
 	return out
 }
 
-// BenchmarkRoute measures a complete decision (Pick, First, Done) of each
+// BenchmarkRoute measures a complete decision (Pick, FirstToken, Done) of each
 // policy as the number of endpoints grows; docs/CAPACITY.md uses the slope.
 // It has six models, as in the capacity target, and prompts of 800 blocks.
 func BenchmarkRoute(b *testing.B) {
@@ -65,8 +65,8 @@
 					if !ok {
 						b.Fatal("no endpoint")
 					}
-					r.First(c)
-					r.Done(c, Outcome{Ran: true, Cached: 3200, Report: report})
+					r.FirstToken(c)
+					r.Done(c, Outcome{Completed: true, Cached: 3200, Report: report})
 				}
 			})
 		}
@@ -118,7 +118,7 @@
 			r.Update(endpoints(10_000, 6))
 			rng := rand.New(rand.NewPCG(1, 2))
 			prompt := make([]uint64, 64)
-			out := Outcome{Ran: true, Report: &Report{Running: 4, Limit: 12}}
+			out := Outcome{Completed: true, Report: &Report{Running: 4, Limit: 12}}
 			b.ReportAllocs()
 			for b.Loop() {
 				program := rng.Uint64N(n)
@@ -132,7 +132,7 @@
 				if !ok {
 					b.Fatal("no endpoint")
 				}
-				r.First(c)
+				r.FirstToken(c)
 				r.Done(c, out)
 			}
 		})
--- a/routing/router_test.go
+++ b/routing/router_test.go
@@ -52,7 +52,7 @@
 }
 
 // idle is the outcome of a completed call at an endpoint without other load.
-var idle = routing.Outcome{Ran: true, Report: &routing.Report{Limit: 12}}
+var idle = routing.Outcome{Completed: true, Report: &routing.Report{Limit: 12}}
 
 // TestTurnsRoutedToCachedHistory guards against an engine that prefills a
 // program's full history on every turn. The prompt of a program grows turn by
@@ -71,7 +71,7 @@
 	}
 	other := pick(t, r, prompt(2, 100, 50))
 	require.Equal(t, holder, other.Endpoint().Name, "a new program is routed to the endpoint with the shared prefix")
-	r.Done(other, routing.Outcome{Ran: true, Report: &routing.Report{Limit: 12, Reset: true}})
+	r.Done(other, routing.Outcome{Completed: true, Report: &routing.Report{Limit: 12, Reset: true}})
 	// The reset covers what the endpoint held before the last call; the
 	// prompt of that call was recorded after it.
 	c := pick(t, r, prompt(2, 120, 50))
@@ -110,7 +110,7 @@
 	r, clk := newRouter(3)
 	c := pick(t, r, prompt(0, 100, 100))
 	holder := c.Endpoint().Name
-	r.Done(c, routing.Outcome{Ran: true, Report: &routing.Report{Running: 12, Waiting: 48, Limit: 12}})
+	r.Done(c, routing.Outcome{Completed: true, Report: &routing.Report{Running: 12, Waiting: 48, Limit: 12}})
 	require.NotEqual(t, holder, pick(t, r, prompt(1, 110, 100)).Endpoint().Name)
 	clk.Advance(5 * time.Second)
 	require.Equal(t, holder, pick(t, r, prompt(2, 110, 100)).Endpoint().Name)
@@ -178,9 +178,9 @@
 				if !ok {
 					continue
 				}
-				r.First(c)
-				_, _ = c.Endpoint(), c.Seen()
-				r.Done(c, routing.Outcome{Ran: i%3 > 0, Report: &routing.Report{Limit: 12, Sequence: uint64(i)}})
+				r.FirstToken(c)
+				_, _ = c.Endpoint(), c.LastReport()
+				r.Done(c, routing.Outcome{Completed: i%3 > 0, Report: &routing.Report{Limit: 12, Sequence: uint64(i)}})
 			}
 		})
 	}
@@ -206,9 +206,9 @@
 // number, which makes the new sidecar reset the index on every call.
 func TestSidecarRestartResetsReportSequence(t *testing.T) {
 	r, _ := newRouter(1)
-	r.Done(pick(t, r, prompt(0, 100, 100)), routing.Outcome{Ran: true, Report: &routing.Report{Limit: 12, Sequence: 9}})
+	r.Done(pick(t, r, prompt(0, 100, 100)), routing.Outcome{Completed: true, Report: &routing.Report{Limit: 12, Sequence: 9}})
 	c := pick(t, r, prompt(0, 100, 100))
-	require.EqualValues(t, 9, c.Seen())
-	r.Done(c, routing.Outcome{Ran: true, Report: &routing.Report{Limit: 12, Reset: true}})
-	require.Zero(t, pick(t, r, prompt(0, 100, 100)).Seen())
+	require.EqualValues(t, 9, c.LastReport())
+	r.Done(c, routing.Outcome{Completed: true, Report: &routing.Report{Limit: 12, Reset: true}})
+	require.Zero(t, pick(t, r, prompt(0, 100, 100)).LastReport())
 }
