--- a/fencing/table.go
+++ b/fencing/table.go
@@ -61,9 +61,9 @@
 	return nil
 }
 
-// Sweep removes programs without a call for longer than idle. Without it the
+// RemoveIdle removes programs without a call for longer than idle. Without it the
 // table would grow with every program that ever made a call.
-func (t *Table) Sweep(idle time.Duration) {
+func (t *Table) RemoveIdle(idle time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	cutoff := t.clock.Now().Add(-idle)
--- a/fencing/table_test.go
+++ b/fencing/table_test.go
@@ -14,7 +14,7 @@
 
 // TestSweepDropsIdlePrograms guards against a sidecar whose memory grows with
 // every program it has served. Two programs make calls, and only one of them
-// continues; Sweep must remove the idle one and keep the other.
+// continues; RemoveIdle must remove the idle one and keep the other.
 func TestSweepDropsIdlePrograms(t *testing.T) {
 	clk := clock.NewFake(time.Unix(1_000_000_000, 0))
 	table := fencing.NewTable(clk)
@@ -22,7 +22,7 @@
 	require.NoError(t, table.Admit("running", 5, 1))
 	clk.Advance(time.Minute)
 	require.NoError(t, table.Admit("running", 5, 2))
-	table.Sweep(time.Minute / 2)
+	table.RemoveIdle(time.Minute / 2)
 	require.Equal(t, 1, table.Len())
 	require.Error(t, table.Admit("running", 4, 3), "the entry of the running program still refuses a former owner")
 }
--- a/sidecar/sidecar.go
+++ b/sidecar/sidecar.go
@@ -115,7 +115,7 @@
 			done <- <-cacheDone
 			return
 		case <-sweep.C:
-			s.fences.Sweep(fenceRetention)
+			s.fences.RemoveIdle(fenceRetention)
 		}
 	}
 }
