--- a/config/config.go
+++ b/config/config.go
@@ -102,8 +102,8 @@
 	changes     []Change
 }
 
-// Base returns the version of the configuration that the plan changes.
-func (p *Plan) Base() uint64 { return p.baseVersion }
+// BaseVersion returns the version of the configuration that the plan changes.
+func (p *Plan) BaseVersion() uint64 { return p.baseVersion }
 
 // Changes returns a copy of the plan's changes, sorted by endpoint name.
 func (p *Plan) Changes() []Change { return slices.Clone(p.changes) }
--- a/config/config_bench_test.go
+++ b/config/config_bench_test.go
@@ -74,7 +74,7 @@
 			}
 			b.ReportAllocs()
 			for b.Loop() {
-				if _, err := current.With(d); err != nil {
+				if _, err := current.ApplyDelta(d); err != nil {
 					b.Fatal(err)
 				}
 			}
--- a/config/config_test.go
+++ b/config/config_test.go
@@ -21,7 +21,7 @@
 		{Name: "c", Role: "tool", Tools: []string{"t"}, Sidecar: "h:3"},
 	}}
 	plan := config.MakePlan(cur, want)
-	require.EqualValues(t, 4, plan.Base())
+	require.EqualValues(t, 4, plan.BaseVersion())
 	var got []string
 	for _, c := range plan.Changes() {
 		got = append(got, c.Kind.String()+" "+c.Endpoint)
--- a/config/delta.go
+++ b/config/delta.go
@@ -25,9 +25,9 @@
 // version.
 func DeltaKey(version uint64) string { return fmt.Sprintf("config-delta/%012d", version) }
 
-// ExpiredDelta returns the key of the delta that expires when version is
+// ExpiredDeltaKey returns the key of the delta that expires when version is
 // written and is to be deleted with it, and whether there is such a delta.
-func ExpiredDelta(version uint64) (key string, ok bool) {
+func ExpiredDeltaKey(version uint64) (key string, ok bool) {
 	if version <= retainedDeltas {
 		return "", false
 	}
@@ -67,7 +67,7 @@
 		e.Sidecar == f.Sidecar && e.DataCentre == f.DataCentre && e.Draining == f.Draining
 }
 
-// DeltaError is returned by Config.With for a delta whose version is not the one
+// DeltaError is returned by Config.ApplyDelta for a delta whose version is not the one
 // after the configuration's.
 type DeltaError struct{ current, delta uint64 }
 
@@ -76,10 +76,10 @@
 	return fmt.Sprintf("delta to version %d can't be applied to configuration version %d", e.delta, e.current)
 }
 
-// With returns a copy of c with d applied, or a *DeltaError if d does not lead
+// ApplyDelta returns a copy of c with d applied, or a *DeltaError if d does not lead
 // from c's version to the next. Endpoints keep their order; added ones are
 // appended.
-func (c *Config) With(d *Delta) (*Config, error) {
+func (c *Config) ApplyDelta(d *Delta) (*Config, error) {
 	if d.Version != c.Version+1 {
 		return nil, &DeltaError{current: c.Version, delta: d.Version}
 	}
--- a/config/delta_test.go
+++ b/config/delta_test.go
@@ -30,10 +30,10 @@
 		next.Endpoints = append(next.Endpoints, config.Endpoint{Name: fmt.Sprint("e", step), Role: "tool", Tools: []string{"t"}, Sidecar: "127.0.0.1:1"})
 		d := config.MakeDelta(current, next)
 		var err error
-		replica, err = replica.With(d)
+		replica, err = replica.ApplyDelta(d)
 		require.NoError(t, err)
 		require.Equal(t, next.Endpoints, replica.Endpoints)
-		_, err = replica.With(d)
+		_, err = replica.ApplyDelta(d)
 		var derr *config.DeltaError
 		require.ErrorAs(t, err, &derr, "the same delta must not apply twice")
 		current = next
--- a/entry/watch.go
+++ b/entry/watch.go
@@ -84,7 +84,7 @@
 	if err := json.Unmarshal(rec.Value, &d); err != nil {
 		return nil, err
 	}
-	return cfg.With(&d)
+	return cfg.ApplyDelta(&d)
 }
 
 // applyConfig installs cfg and reports whether it did; a cfg that is not
--- a/operator/apply.go
+++ b/operator/apply.go
@@ -76,21 +76,21 @@
 	if err != nil {
 		return 0, err
 	}
-	if current.Version != plan.Base() {
-		return 0, &StaleError{planned: plan.Base(), current: current.Version}
+	if current.Version != plan.BaseVersion() {
+		return 0, &StaleError{planned: plan.BaseVersion(), current: current.Version}
 	}
 	ops, err := transactionOps(current, desired)
 	if err != nil {
 		return 0, err
 	}
-	next := plan.Base() + 1
+	next := plan.BaseVersion() + 1
 	err = pc.Tx(ctx, ops...)
 	var pe *tableservice.Error
 	switch {
 	case err == nil:
 		return next, nil
 	case tableservice.Is(err, tableservice.FailureConflict) && errors.As(err, &pe):
-		return 0, &StaleError{planned: plan.Base(), current: pe.Current()}
+		return 0, &StaleError{planned: plan.BaseVersion(), current: pe.Current()}
 	case tableservice.Is(err, tableservice.FailureUnavailable):
 		return next, resolveUnknownWrite(ctx, pc, plan, desired, err)
 	}
@@ -118,7 +118,7 @@
 		}
 		ops = append(ops, op)
 	}
-	if key, ok := config.ExpiredDelta(next); ok {
+	if key, ok := config.ExpiredDeltaKey(next); ok {
 		ops = append(ops, tableservice.TxOp{Key: key, Delete: true})
 	}
 	return ops, nil
@@ -132,10 +132,10 @@
 	switch {
 	case err != nil:
 		return writeErr
-	case current.Version == plan.Base()+1 && len(config.MakePlan(current, desired).Changes()) == 0:
+	case current.Version == plan.BaseVersion()+1 && len(config.MakePlan(current, desired).Changes()) == 0:
 		return nil
-	case current.Version != plan.Base():
-		return &StaleError{planned: plan.Base(), current: current.Version}
+	case current.Version != plan.BaseVersion():
+		return &StaleError{planned: plan.BaseVersion(), current: current.Version}
 	}
 	return writeErr
 }
