--- a/entry/dispatch.go
+++ b/entry/dispatch.go
@@ -101,7 +101,7 @@
 	ep := choice.Endpoint()
 	res := dispatchResult{endpoint: ep.Name}
 	var report *routing.Report
-	call.Anchors, call.SeenReport = req.AnchorHashes(), choice.LastReport()
+	call.Anchors, call.LastReportSequence = req.AnchorHashes(), choice.LastReport()
 	sent, err := e.peers.Do(ctx, ep.Sidecar, call, func(f peer.Frame) error {
 		if f.Report != nil {
 			report = reportOf(f.Report)
--- a/entry/forward.go
+++ b/entry/forward.go
@@ -103,7 +103,7 @@
 func (r *relayWriter) writeFrame(f peer.Frame) error {
 	switch f.Type {
 	case peer.FrameHead:
-		var head peer.Head
+		var head peer.ForwardHead
 		if err := codec.Unmarshal(f.Data, &head); err != nil {
 			return err
 		}
@@ -167,7 +167,7 @@
 		return
 	}
 	w.started = true
-	head := peer.Head{Status: status, Header: map[string]string{}}
+	head := peer.ForwardHead{Status: status, Header: map[string]string{}}
 	for name := range w.header {
 		head.Header[name] = w.header.Get(name)
 	}
--- a/entry/model.go
+++ b/entry/model.go
@@ -97,7 +97,7 @@
 		}
 		broken := res
 		e.log.Info("model answer interrupted; resuming it", "program", call.Program, "seq", seq, "endpoint", broken.endpoint, "pieces", ans.contentChunks, "err", broken.err)
-		call.Resume = ans.contentChunks
+		call.ResumeAfter = ans.contentChunks
 		res = e.dispatch(ctx, req, call, ans, map[string]bool{broken.endpoint: true})
 		if res.outcome == outcomeRefused {
 			// No other engine accepted the call. The first one may still be
--- a/peer/client.go
+++ b/peer/client.go
@@ -156,7 +156,7 @@
 		if err := recv(f); err != nil {
 			return true, err
 		}
-		if f.Type.Ends() {
+		if f.Type.IsFinal() {
 			return true, nil
 		}
 	}
--- a/peer/message.go
+++ b/peer/message.go
@@ -38,12 +38,12 @@
 	// effect is unknown.
 	FrameFailed
 	// FrameHead starts the response to a forwarded request. Data is an encoded
-	// Head.
+	// ForwardHead.
 	FrameHead
 )
 
-// Ends reports whether a frame of this type is the final frame of a reply.
-func (f FrameType) Ends() bool { return f != FrameData && f != FrameHead }
+// IsFinal reports whether a frame of this type is the final frame of a reply.
+func (f FrameType) IsFinal() bool { return f != FrameData && f != FrameHead }
 
 // Forward is a caller's HTTP request that is forwarded to the program's owner.
 type Forward struct {
@@ -53,8 +53,8 @@
 	Body   []byte            `cbor:"b"`
 }
 
-// Head is the HTTP status and header of the response to a Forward.
-type Head struct {
+// ForwardHead is the HTTP status and header of the response to a Forward.
+type ForwardHead struct {
 	Status int               `cbor:"s"`
 	Header map[string]string `cbor:"h"`
 }
@@ -81,14 +81,14 @@
 	// them.
 	Started  int64 `cbor:"b0,omitempty"`
 	Attained int64 `cbor:"at,omitempty"`
-	// Resume is the number of the last event received of an interrupted
+	// ResumeAfter is the number of the last event received of an interrupted
 	// response; the endpoint resumes after it. 0 requests the full response.
-	Resume int `cbor:"re,omitempty"`
+	ResumeAfter int `cbor:"re,omitempty"`
 	// Anchors are hashes of prompt blocks whose removal from the endpoint's
-	// prefix cache the sidecar is to report. SeenReport is the Sequence of the
+	// prefix cache the sidecar is to report. LastReportSequence is the Sequence of the
 	// last Report that the calling instance received.
-	Anchors    []uint64 `cbor:"an,omitempty"`
-	SeenReport uint64   `cbor:"sr,omitempty"`
+	Anchors            []uint64 `cbor:"an,omitempty"`
+	LastReportSequence uint64   `cbor:"sr,omitempty"`
 	// Deadline is the time at which the caller stops waiting, in Unix
 	// milliseconds.
 	Deadline int64  `cbor:"d"`
--- a/sidecar/sidecar.go
+++ b/sidecar/sidecar.go
@@ -125,7 +125,7 @@
 	running, waiting, _ := s.gate.Stats()
 	r := &peer.Report{Running: running, Waiting: waiting, Limit: s.gate.Limits().Running}
 	if call.Kind == peer.KindEngine {
-		s.cache.addRemovals(r, call.SeenReport)
+		s.cache.addRemovals(r, call.LastReportSequence)
 	}
 	return r
 }
@@ -136,7 +136,7 @@
 func (s *Sidecar) Handle(ctx context.Context, call *peer.Call, reply func(peer.Frame) error) {
 	s.calls.Inc(1)
 	send := func(f peer.Frame) error {
-		if f.Type.Ends() {
+		if f.Type.IsFinal() {
 			f.Report = s.report(call)
 		}
 		return reply(f)
@@ -203,8 +203,8 @@
 		return nil, err
 	}
 	req.Header.Set("Content-Type", "application/json")
-	if call.Resume > 0 {
-		req.Header.Set(engine.LastEventHeader, strconv.Itoa(call.Resume))
+	if call.ResumeAfter > 0 {
+		req.Header.Set(engine.LastEventHeader, strconv.Itoa(call.ResumeAfter))
 	}
 	if call.IdempotencyKey != "" {
 		req.Header.Set("Idempotency-Key", call.IdempotencyKey)
