--- a/caller/errors.go
+++ b/caller/errors.go
@@ -50,8 +50,8 @@
 	return &Error{status: status, typ: typ, message: fmt.Sprintf(format, args...)}
 }
 
-// RetryAfter sets the delay after which the caller should retry, and returns e.
-func (e *Error) RetryAfter(d time.Duration) *Error {
+// WithRetryAfter sets the delay after which the caller should retry, and returns e.
+func (e *Error) WithRetryAfter(d time.Duration) *Error {
 	e.retryAfter = d
 	return e
 }
--- a/caller/message.go
+++ b/caller/message.go
@@ -14,9 +14,9 @@
 	SequenceHeader = "Wagtaildrum-Sequence"
 )
 
-// CreateProgram is the body of POST /v1/programs, which creates a program with
+// CreateProgramRequest is the body of POST /v1/programs, which creates a program with
 // a budget in tokens.
-type CreateProgram struct {
+type CreateProgramRequest struct {
 	ID           string `json:"id"`
 	BudgetTokens int64  `json:"budget_tokens"`
 	// Urgency is "background", "normal" (the default) or "urgent".
@@ -66,9 +66,9 @@
 	Arguments json.RawMessage `json:"arguments,omitempty"`
 }
 
-// Answer is the response to a Call. Content and Usage are set for a model call,
+// Response is the response to a Call. Content and Usage are set for a model call,
 // Tool and Result for a tool call. Endpoint is the endpoint that served it.
-type Answer struct {
+type Response struct {
 	Program  string          `json:"program"`
 	Sequence uint64          `json:"sequence"`
 	Kind     CallKind        `json:"kind"`
--- a/entry/call.go
+++ b/entry/call.go
@@ -21,7 +21,7 @@
 // A pending turn is made durable first: until then neither its answer nor a
 // call that builds on it may leave this instance. begin fails if that write
 // does not complete in time, or if the program refuses the call.
-func (e *Entry) begin(ctx context.Context, o *ownedProgram, seq uint64, cancel context.CancelFunc, cost func([]program.Message) int64) (replay *caller.Answer, history []program.Message, err error) {
+func (e *Entry) begin(ctx context.Context, o *ownedProgram, seq uint64, cancel context.CancelFunc, cost func([]program.Message) int64) (replay *caller.Response, history []program.Message, err error) {
 	if err := e.persist(ctx, o); err != nil {
 		o.mu.Lock()
 		ran := o.last != nil && o.last.seq == seq
@@ -29,7 +29,7 @@
 		if ran {
 			return nil, nil, err
 		}
-		return nil, nil, caller.NewError(http.StatusServiceUnavailable, caller.TypeUnavailable, "not run: %v", err).RetryAfter(unavailableRetryAfter())
+		return nil, nil, caller.NewError(http.StatusServiceUnavailable, caller.TypeUnavailable, "not run: %v", err).WithRetryAfter(unavailableRetryAfter())
 	}
 	replay, history, err = e.beginLocked(o, seq, cancel, cost)
 	if replay != nil {
@@ -43,7 +43,7 @@
 // beginLocked is the section of begin that runs under the program's lock. It
 // returns either the stored answer or the history, and fails with a
 // *program.Error if the call is refused.
-func (e *Entry) beginLocked(o *ownedProgram, seq uint64, cancel context.CancelFunc, cost func([]program.Message) int64) (replay *caller.Answer, history []program.Message, err error) {
+func (e *Entry) beginLocked(o *ownedProgram, seq uint64, cancel context.CancelFunc, cost func([]program.Message) int64) (replay *caller.Response, history []program.Message, err error) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if o.last != nil && o.last.seq == seq && o.prog.NextSequence() == seq+1 && o.pending == nil {
@@ -62,7 +62,7 @@
 // finish settles the call, appends its turn to the history and makes the turn
 // durable. If it returns an error, the answer must not be sent: the turn may
 // be missing from the log that a new owner would read.
-func (e *Entry) finish(ctx context.Context, o *ownedProgram, ans caller.Answer, used int64, msgs ...program.Message) error {
+func (e *Entry) finish(ctx context.Context, o *ownedProgram, ans caller.Response, used int64, msgs ...program.Message) error {
 	o.mu.Lock()
 	o.prog.Finish(ans.Sequence, used, msgs...)
 	o.last = &lastAnswer{seq: ans.Sequence, answer: ans}
@@ -84,7 +84,7 @@
 	err := e.confirmLease(ctx, o)
 	var lost *LeaseError
 	if errors.As(err, &lost) {
-		return caller.NewError(http.StatusBadGateway, caller.TypeUpstreamFailed, "another instance took over the program during the call; send the same sequence number again").RetryAfter(time.Second)
+		return caller.NewError(http.StatusBadGateway, caller.TypeUpstreamFailed, "another instance took over the program during the call; send the same sequence number again").WithRetryAfter(time.Second)
 	}
 	if err != nil {
 		return &NotDurableError{program: o.prog.ID()}
@@ -120,7 +120,7 @@
 	}
 	start := e.clock.Now()
 	e.metrics.calls.Inc(1)
-	var ans *caller.Answer
+	var ans *caller.Response
 	var err error
 	switch req.Kind {
 	case caller.CallModel:
@@ -154,7 +154,7 @@
 
 // runModelCall runs a model call of the program and returns its answer, or
 // the stored answer if the call has already run.
-func (e *Entry) runModelCall(ctx context.Context, o *ownedProgram, req *caller.Call) (*caller.Answer, error) {
+func (e *Entry) runModelCall(ctx context.Context, o *ownedProgram, req *caller.Call) (*caller.Response, error) {
 	if req.Model == "" || req.Content == "" {
 		return nil, caller.NewError(http.StatusBadRequest, caller.TypeInvalidRequest, "a model call requires model and content")
 	}
@@ -176,7 +176,7 @@
 		e.abort(ctx, o, req.Sequence, got.usedTokens())
 		return nil, dispatchError(res)
 	}
-	ans := caller.Answer{Program: string(o.prog.ID()), Sequence: req.Sequence, Kind: caller.CallModel,
+	ans := caller.Response{Program: string(o.prog.ID()), Sequence: req.Sequence, Kind: caller.CallModel,
 		Content: got.content.String(), Usage: got.usage, Endpoint: res.endpoint}
 	if err := e.finish(ctx, o, ans, got.usedTokens(), user, program.Message{Role: "assistant", Content: ans.Content}); err != nil {
 		return nil, err
@@ -190,7 +190,7 @@
 	if res.outcome == outcomeRefused {
 		return refusalError(res)
 	}
-	return caller.NewError(http.StatusBadGateway, caller.TypeUpstreamFailed, "endpoint %s: %v", res.endpoint, res.err).RetryAfter(time.Second)
+	return caller.NewError(http.StatusBadGateway, caller.TypeUpstreamFailed, "endpoint %s: %v", res.endpoint, res.err).WithRetryAfter(time.Second)
 }
 
 // hasReason reports whether err is a *program.Error of the given reason.
--- a/entry/chat.go
+++ b/entry/chat.go
@@ -74,7 +74,7 @@
 		sse.writeError(apiError(dispatchError(res)))
 		return
 	}
-	ans := caller.Answer{Program: string(o.prog.ID()), Sequence: seq, Kind: caller.CallModel, Content: got.content.String(), Usage: got.usage, Endpoint: res.endpoint}
+	ans := caller.Response{Program: string(o.prog.ID()), Sequence: seq, Kind: caller.CallModel, Content: got.content.String(), Usage: got.usage, Endpoint: res.endpoint}
 	last := req.Messages[len(req.Messages)-1]
 	if err := e.finish(ctx, o, ans, got.usedTokens(), last, program.Message{Role: "assistant", Content: ans.Content}); err != nil {
 		sse.writeError(apiError(err))
--- a/entry/checkpoint.go
+++ b/entry/checkpoint.go
@@ -129,7 +129,7 @@
 	}
 	o := &ownedProgram{prog: p, epoch: lease.version, leaseVer: lease.version, leaseExpires: lease.expires}
 	if len(answer) > 0 {
-		var last caller.Answer
+		var last caller.Response
 		if json.Unmarshal(answer, &last) == nil && last.Sequence > 0 {
 			o.last = &lastAnswer{seq: last.Sequence, answer: last}
 		}
--- a/entry/checkpoint_test.go
+++ b/entry/checkpoint_test.go
@@ -46,7 +46,7 @@
 			e.stageFull(o)
 			o.mu.Unlock()
 		}
-		ans := caller.Answer{Program: "jur-quiet", Sequence: seq}
+		ans := caller.Response{Program: "jur-quiet", Sequence: seq}
 		require.NoError(t, e.finish(ctx, o, ans, 1, program.Message{Role: "user", Content: "turn"}))
 		log, err := e.journals.Program(ctx, e.journal.Name(), "jur-quiet")
 		require.NoError(t, err)
--- a/entry/dispatch.go
+++ b/entry/dispatch.go
@@ -172,7 +172,7 @@
 	after := max(res.retryAfter, 100*time.Millisecond)
 	after += retry.Jitter(after / 2)
 	if res.reason == "stale_fence" {
-		return caller.NewError(http.StatusConflict, caller.TypeUnavailable, "this instance no longer owns the program: %v", res.err).RetryAfter(after)
+		return caller.NewError(http.StatusConflict, caller.TypeUnavailable, "this instance no longer owns the program: %v", res.err).WithRetryAfter(after)
 	}
-	return caller.NewError(http.StatusServiceUnavailable, caller.TypeOverloaded, "not run: %s", res.reason).RetryAfter(after)
+	return caller.NewError(http.StatusServiceUnavailable, caller.TypeOverloaded, "not run: %s", res.reason).WithRetryAfter(after)
 }
--- a/entry/forward.go
+++ b/entry/forward.go
@@ -75,7 +75,7 @@
 	case !relay.started:
 		// The owner may have run the call. Sending the same sequence number
 		// again is safe: it is answered from the log or the intent record.
-		caller.NewError(http.StatusBadGateway, caller.TypeUpstreamFailed, "the connection to the instance that owns the program failed during the call; send the same sequence number again").RetryAfter(retryAfterForward).Write(w)
+		caller.NewError(http.StatusBadGateway, caller.TypeUpstreamFailed, "the connection to the instance that owns the program failed during the call; send the same sequence number again").WithRetryAfter(retryAfterForward).Write(w)
 	default:
 		// Part of the response has been sent. Closing the connection without
 		// the stream's final event shows the caller that it is incomplete.
@@ -90,7 +90,7 @@
 // ownerUnreachable returns the caller's error for a program whose owner
 // cannot be reached.
 func ownerUnreachable() *caller.Error {
-	return caller.NewError(http.StatusServiceUnavailable, caller.TypeUnavailable, "not run: the instance that owns the program cannot be reached").RetryAfter(retryAfterForward)
+	return caller.NewError(http.StatusServiceUnavailable, caller.TypeUnavailable, "not run: the instance that owns the program cannot be reached").WithRetryAfter(retryAfterForward)
 }
 
 // relayWriter relays the response to a forwarded request to the caller.
--- a/entry/owned.go
+++ b/entry/owned.go
@@ -68,7 +68,7 @@
 // answer instead of a second run.
 type lastAnswer struct {
 	seq    uint64
-	answer caller.Answer
+	answer caller.Response
 }
 
 // lookupOwned returns the program if this instance owns it.
--- a/entry/programs.go
+++ b/entry/programs.go
@@ -55,7 +55,7 @@
 		case program.ReasonEnded:
 			return caller.NewError(http.StatusGone, caller.TypeEnded, "%s", pe.Error())
 		case program.ReasonOutOfOrder:
-			return caller.NewError(http.StatusConflict, caller.TypeOutOfOrder, "%s", pe.Error()).RetryAfter(time.Second)
+			return caller.NewError(http.StatusConflict, caller.TypeOutOfOrder, "%s", pe.Error()).WithRetryAfter(time.Second)
 		case program.ReasonOverBudget:
 			return caller.NewError(http.StatusPaymentRequired, caller.TypeOverBudget, "%s", pe.Error())
 		case program.ReasonPastDeadline:
@@ -66,7 +66,7 @@
 	}
 	var nd *NotDurableError
 	if errors.As(err, &nd) {
-		return caller.NewError(http.StatusBadGateway, caller.TypeNotDurable, "%s; send the same sequence number again", nd.Error()).RetryAfter(unavailableRetryAfter())
+		return caller.NewError(http.StatusBadGateway, caller.TypeNotDurable, "%s; send the same sequence number again", nd.Error()).WithRetryAfter(unavailableRetryAfter())
 	}
 	var ee *ExistsError
 	if errors.As(err, &ee) {
@@ -74,9 +74,9 @@
 	}
 	var le *LeaseError
 	if errors.As(err, &le) {
-		return caller.NewError(http.StatusServiceUnavailable, caller.TypeUnavailable, "not run: %s", le.Error()).RetryAfter(time.Second)
+		return caller.NewError(http.StatusServiceUnavailable, caller.TypeUnavailable, "not run: %s", le.Error()).WithRetryAfter(time.Second)
 	}
-	return caller.NewError(http.StatusServiceUnavailable, caller.TypeUnavailable, "platform operation failed: %v", err).RetryAfter(unavailableRetryAfter())
+	return caller.NewError(http.StatusServiceUnavailable, caller.TypeUnavailable, "platform operation failed: %v", err).WithRetryAfter(unavailableRetryAfter())
 }
 
 // unavailableRetryAfter returns retryAfterUnavailable with random jitter of
@@ -88,7 +88,7 @@
 
 // createProgram serves POST /v1/programs.
 func (e *Entry) createProgram(w http.ResponseWriter, r *http.Request) {
-	var req caller.CreateProgram
+	var req caller.CreateProgramRequest
 	if cerr := decodeBody(r, &req); cerr != nil {
 		cerr.Write(w)
 		return
@@ -127,7 +127,7 @@
 
 // specFromRequest returns the Spec that req describes. It fails if the
 // urgency or the deadline is invalid.
-func specFromRequest(req *caller.CreateProgram) (program.Spec, *caller.Error) {
+func specFromRequest(req *caller.CreateProgramRequest) (program.Spec, *caller.Error) {
 	urgency, err := program.ParseUrgency(req.Urgency)
 	if err != nil {
 		return program.Spec{}, caller.NewError(http.StatusBadRequest, caller.TypeInvalidRequest, "invalid urgency: %v", err)
--- a/entry/toolcall.go
+++ b/entry/toolcall.go
@@ -23,7 +23,7 @@
 
 // runToolCall runs a tool call of the program and returns its answer, or the
 // stored answer if the call has already run.
-func (e *Entry) runToolCall(ctx context.Context, o *ownedProgram, req *caller.Call) (*caller.Answer, error) {
+func (e *Entry) runToolCall(ctx context.Context, o *ownedProgram, req *caller.Call) (*caller.Response, error) {
 	if req.Tool == "" {
 		return nil, caller.NewError(http.StatusBadRequest, caller.TypeInvalidRequest, "a tool call requires tool")
 	}
@@ -53,7 +53,7 @@
 // runAtMostOnce runs a non-idempotent call at most once: its intent record is
 // durable before the call is sent, and any later attempt that finds the
 // record does not send the call.
-func (e *Entry) runAtMostOnce(ctx context.Context, o *ownedProgram, req *caller.Call) (*caller.Answer, error) {
+func (e *Entry) runAtMostOnce(ctx context.Context, o *ownedProgram, req *caller.Call) (*caller.Response, error) {
 	id := o.prog.ID()
 	claimant := fmt.Sprintf("%s/%d/%d", e.id, o.fence(), e.clock.Now().UnixNano())
 	intent, err := e.claimIntent(ctx, id, req.Sequence, claimant)
@@ -115,12 +115,12 @@
 func (t *toolResult) cachedTokens() int { return 0 }
 
 // toolAnswer returns the answer to the tool call req with the given result.
-func toolAnswer(o *ownedProgram, req *caller.Call, result []byte, endpoint string) caller.Answer {
-	return caller.Answer{Program: string(o.prog.ID()), Sequence: req.Sequence, Kind: caller.CallTool, Tool: req.Tool, Result: result, Endpoint: endpoint}
+func toolAnswer(o *ownedProgram, req *caller.Call, result []byte, endpoint string) caller.Response {
+	return caller.Response{Program: string(o.prog.ID()), Sequence: req.Sequence, Kind: caller.CallTool, Tool: req.Tool, Result: result, Endpoint: endpoint}
 }
 
 // finishTool settles a tool call and returns ans once its turn is durable.
-func (e *Entry) finishTool(ctx context.Context, o *ownedProgram, ans caller.Answer) (*caller.Answer, error) {
+func (e *Entry) finishTool(ctx context.Context, o *ownedProgram, ans caller.Response) (*caller.Response, error) {
 	turn := program.Message{Role: "tool", Content: ans.Tool + ": " + string(ans.Result)}
 	if err := e.finish(ctx, o, ans, 0, turn); err != nil {
 		return nil, err
@@ -147,7 +147,7 @@
 // one from its intent record: with the recorded result if the call completed,
 // otherwise with outcome_unknown. Without a record, or if the call was
 // refused, it returns orderErr.
-func (e *Entry) replayIntent(ctx context.Context, id program.ID, req *caller.Call, orderErr error) (*caller.Answer, error) {
+func (e *Entry) replayIntent(ctx context.Context, id program.ID, req *caller.Call, orderErr error) (*caller.Response, error) {
 	rec, err := e.platform.Get(ctx, intentKey(id, req.Sequence))
 	if tableservice.Is(err, tableservice.FailureNotFound) {
 		return nil, orderErr
@@ -165,13 +165,13 @@
 	if found.State != intentDone {
 		return nil, unknownOutcome(req, &found)
 	}
-	return &caller.Answer{Program: string(id), Sequence: req.Sequence, Kind: caller.CallTool, Tool: req.Tool, Result: found.Result, Endpoint: found.Endpoint, Replayed: true}, nil
+	return &caller.Response{Program: string(id), Sequence: req.Sequence, Kind: caller.CallTool, Tool: req.Tool, Result: found.Result, Endpoint: found.Endpoint, Replayed: true}, nil
 }
 
 // answerFromIntent answers a non-idempotent call that an earlier attempt has
 // claimed: with the recorded result if the call completed, otherwise with
 // outcome_unknown. The call is not sent again.
-func (e *Entry) answerFromIntent(ctx context.Context, o *ownedProgram, req *caller.Call, rec *intentRecord) (*caller.Answer, error) {
+func (e *Entry) answerFromIntent(ctx context.Context, o *ownedProgram, req *caller.Call, rec *intentRecord) (*caller.Response, error) {
 	if rec.State != intentDone {
 		e.abort(ctx, o, req.Sequence, 0)
 		return nil, unknownOutcome(req, rec)
--- a/load/runner.go
+++ b/load/runner.go
@@ -172,7 +172,7 @@
 // execute creates the program, makes its calls and deletes it. It stops at the
 // first error.
 func (p *programRun) execute(ctx context.Context) error {
-	create := caller.CreateProgram{ID: p.plan.id, BudgetTokens: ampleBudget, Urgency: p.plan.shape.Urgency}
+	create := caller.CreateProgramRequest{ID: p.plan.id, BudgetTokens: ampleBudget, Urgency: p.plan.shape.Urgency}
 	if p.plan.shape.OnceTool != "" {
 		create.NonIdempotentTools = []string{p.plan.shape.OnceTool}
 	}
@@ -230,7 +230,7 @@
 	}
 	p.lastSequence++
 	call := caller.Call{Sequence: p.lastSequence, Kind: caller.CallModel, Model: p.plan.shape.Model, Content: t.content, MaxTokens: p.plan.shape.AnswerTokens}
-	var answer caller.Answer
+	var answer caller.Response
 	if err := p.send(ctx, "v1/programs/"+p.plan.id+"/calls", call, &answer); err != nil {
 		return err
 	}
@@ -246,7 +246,7 @@
 	p.lastSequence++
 	args, _ := json.Marshal(map[string]string{"program": p.plan.id})
 	call := caller.Call{Sequence: p.lastSequence, Kind: caller.CallTool, Tool: tool, Arguments: args}
-	return p.send(ctx, "v1/programs/"+p.plan.id+"/calls", call, &caller.Answer{})
+	return p.send(ctx, "v1/programs/"+p.plan.id+"/calls", call, &caller.Response{})
 }
 
 // CallError is returned for a request that was rejected and is not retried, or
--- a/systemtest/api_test.go
+++ b/systemtest/api_test.go
@@ -16,7 +16,7 @@
 // reply is what one API call answered.
 type reply struct {
 	status     int
-	answer     caller.Answer
+	answer     caller.Response
 	err        caller.ErrorDetail
 	retryAfter string
 }
@@ -25,7 +25,7 @@
 	return sling.New().Client(&http.Client{Timeout: 20 * time.Second}).Base(url)
 }
 
-func createProgram(t *testing.T, url string, p caller.CreateProgram) int {
+func createProgram(t *testing.T, url string, p caller.CreateProgramRequest) int {
 	var st caller.ProgramState
 	var fail caller.ErrorBody
 	resp, err := api(url).Post("v1/programs").BodyJSON(p).Receive(&st, &fail) //nolint:bodyclose // closed by sling
--- a/systemtest/budget_test.go
+++ b/systemtest/budget_test.go
@@ -19,7 +19,7 @@
 func TestLoopingProgramStopsAtBudget(t *testing.T) {
 	b := newBed(t, defaultEngines, 1)
 	const budget = 400
-	spec := caller.CreateProgram{ID: "sul-loop", BudgetTokens: budget}
+	spec := caller.CreateProgramRequest{ID: "sul-loop", BudgetTokens: budget}
 	require.Equal(t, 201, createProgram(t, b.entryURL[0], spec))
 	seq := uint64(1)
 	for ; seq < 100; seq++ {
--- a/systemtest/drain_test.go
+++ b/systemtest/drain_test.go
@@ -36,7 +36,7 @@
 	before := served(b.engines["workshop-1"])
 	for i := range 20 {
 		id := fmt.Sprintf("sul-drain-%d", i)
-		require.Equal(t, 201, createProgram(t, b.entryURL[0], caller.CreateProgram{ID: id, BudgetTokens: 1000}))
+		require.Equal(t, 201, createProgram(t, b.entryURL[0], caller.CreateProgramRequest{ID: id, BudgetTokens: 1000}))
 		r := programCall(t, b.entryURL[0], id, modelCall(1, "workshop", "when is my pickup", 4))
 		require.Equal(t, 200, r.status, r.err.Message)
 		require.Equal(t, "workshop-2", r.answer.Endpoint)
@@ -55,7 +55,7 @@
 // Cause: stopping without draining.
 func TestPlannedStopCutsNothing(t *testing.T) {
 	b := newBed(t, defaultEngines, 1)
-	spec := caller.CreateProgram{ID: "jur-drain", BudgetTokens: 100000}
+	spec := caller.CreateProgramRequest{ID: "jur-drain", BudgetTokens: 100000}
 	require.Equal(t, 201, createProgram(t, b.entryURL[0], spec))
 	done := make(chan reply, 1)
 	go func() {
--- a/systemtest/engine_test.go
+++ b/systemtest/engine_test.go
@@ -52,7 +52,7 @@
 // Cause: ending the program without cancelling the stream at the engine.
 func TestEndedProgramFreesEngine(t *testing.T) {
 	b := newBed(t, defaultEngines, 1)
-	spec := caller.CreateProgram{ID: "jur-ended", BudgetTokens: 100000}
+	spec := caller.CreateProgramRequest{ID: "jur-ended", BudgetTokens: 100000}
 	require.Equal(t, 201, createProgram(t, b.entryURL[0], spec))
 	done := make(chan reply, 1)
 	go func() {
--- a/systemtest/history_test.go
+++ b/systemtest/history_test.go
@@ -93,7 +93,7 @@
 	ids := []string{"jur-history-a", "jur-history-b"}
 	histories := map[string][]program.Message{}
 	for _, id := range ids {
-		require.Equal(t, 201, createProgram(t, b.entryURL[0], caller.CreateProgram{ID: id, BudgetTokens: 1 << 30}))
+		require.Equal(t, 201, createProgram(t, b.entryURL[0], caller.CreateProgramRequest{ID: id, BudgetTokens: 1 << 30}))
 	}
 	seq := uint64(0)
 	for owner, turns := range []int{19, 3, 2} {
@@ -126,7 +126,7 @@
 	}
 	ref := b.newReference("fleetdesk")
 	const id = "jur-rewrite"
-	require.Equal(t, 201, createProgram(t, b.entryURL[0], caller.CreateProgram{ID: id, BudgetTokens: 1 << 30}))
+	require.Equal(t, 201, createProgram(t, b.entryURL[0], caller.CreateProgramRequest{ID: id, BudgetTokens: 1 << 30}))
 	history := ref.turn(b.entryURL[0], id, 1, nil, "first")
 	late := make(chan reply, 1)
 	go func() {
@@ -153,7 +153,7 @@
 	b := newBed(t, defaultEngines, 1)
 	ref := b.newReference("fleetdesk")
 	const id = "jur-store-down"
-	require.Equal(t, 201, createProgram(t, b.entryURL[0], caller.CreateProgram{ID: id, BudgetTokens: 1 << 30}))
+	require.Equal(t, 201, createProgram(t, b.entryURL[0], caller.CreateProgramRequest{ID: id, BudgetTokens: 1 << 30}))
 	b.platform.RefuseWritesAfter(0)
 	r := programCall(t, b.entryURL[0], id, modelCall(1, "fleetdesk", "first", 6))
 	require.Equal(t, caller.TypeNotDurable, r.err.Type, r.err.Message)
@@ -182,7 +182,7 @@
 	}
 	ref := b.newReference("fleetdesk")
 	const id = "jur-any-entry"
-	require.Equal(t, 201, createProgram(t, b.entryURL[0], caller.CreateProgram{ID: id, BudgetTokens: 1 << 30}))
+	require.Equal(t, 201, createProgram(t, b.entryURL[0], caller.CreateProgramRequest{ID: id, BudgetTokens: 1 << 30}))
 	var history []program.Message
 	ref.once = true
 	for seq := uint64(1); seq <= 6; seq++ {
--- a/systemtest/linear_test.go
+++ b/systemtest/linear_test.go
@@ -122,7 +122,7 @@
 		b.addEntry(i)
 	}
 	const id = "sul-vans"
-	require.Equal(t, 201, createProgram(t, b.entryURL[0], caller.CreateProgram{ID: id, BudgetTokens: 1000, NonIdempotentTools: []string{"dispatch_van"}}))
+	require.Equal(t, 201, createProgram(t, b.entryURL[0], caller.CreateProgramRequest{ID: id, BudgetTokens: 1000, NonIdempotentTools: []string{"dispatch_van"}}))
 	h := &history{start: time.Now()}
 	var wg sync.WaitGroup
 	for client := range 6 {
--- a/systemtest/once_test.go
+++ b/systemtest/once_test.go
@@ -28,7 +28,7 @@
 	b.leaseTTL = 300 * time.Millisecond
 	b.addEntry(0)
 	b.addEntry(1)
-	spec := caller.CreateProgram{ID: "sul-van", BudgetTokens: 1000, NonIdempotentTools: []string{"dispatch_van"}}
+	spec := caller.CreateProgramRequest{ID: "sul-van", BudgetTokens: 1000, NonIdempotentTools: []string{"dispatch_van"}}
 	require.Equal(t, 201, createProgram(t, b.entryURL[0], spec))
 
 	b.platform.LoseAcks(1)
@@ -71,7 +71,7 @@
 	b.leaseTTL = 300 * time.Millisecond
 	b.addEntry(0)
 	b.addEntry(1)
-	spec := caller.CreateProgram{ID: "jur-charge", BudgetTokens: 1000, NonIdempotentTools: []string{"billing_charge"}}
+	spec := caller.CreateProgramRequest{ID: "jur-charge", BudgetTokens: 1000, NonIdempotentTools: []string{"billing_charge"}}
 	require.Equal(t, 201, createProgram(t, b.entryURL[0], spec))
 	// The intent write takes effect; the platform is down before the
 	// settle write, so the record stays "dispatched". The turn's own record
@@ -99,7 +99,7 @@
 // Cause: dispatching before the intent is durable, then refusing.
 func TestRefusedMeansNotRun(t *testing.T) {
 	b := newBed(t, defaultEngines, 1)
-	spec := caller.CreateProgram{ID: "sul-outage", BudgetTokens: 1000, NonIdempotentTools: []string{"dispatch_van"}}
+	spec := caller.CreateProgramRequest{ID: "sul-outage", BudgetTokens: 1000, NonIdempotentTools: []string{"dispatch_van"}}
 	require.Equal(t, 201, createProgram(t, b.entryURL[0], spec))
 	b.platform.SetOutage(true)
 	r := programCall(t, b.entryURL[0], spec.ID, toolCall(1, "dispatch_van", vanArgs))
--- a/systemtest/owner_test.go
+++ b/systemtest/owner_test.go
@@ -26,7 +26,7 @@
 	b.leaseTTL = 300 * time.Millisecond
 	b.addEntry(0)
 	b.addEntry(1)
-	spec := caller.CreateProgram{ID: "jur-two-owners", BudgetTokens: 5000}
+	spec := caller.CreateProgramRequest{ID: "jur-two-owners", BudgetTokens: 5000}
 	require.Equal(t, 201, createProgram(t, b.entryURL[0], spec))
 	time.Sleep(400 * time.Millisecond) // entry-1 "paused" past its lease
 	require.Equal(t, 409, createProgram(t, b.entryURL[1], spec), "the id is taken; it is not created again")
@@ -87,7 +87,7 @@
 // another's.
 func TestLostCreationIsFoundAgain(t *testing.T) {
 	b := newBed(t, oneEngine, 2)
-	spec := caller.CreateProgram{ID: "jur-lost-creation", BudgetTokens: 5000}
+	spec := caller.CreateProgramRequest{ID: "jur-lost-creation", BudgetTokens: 5000}
 	b.platform.LoseAcks(1)
 	b.platform.FailReads(1)
 	require.Equal(t, 503, createProgram(t, b.entryURL[0], spec))
--- a/systemtest/process_test.go
+++ b/systemtest/process_test.go
@@ -173,7 +173,7 @@
 }
 
 func create(t *testing.T, url, id string) {
-	require.Equal(t, 201, createProgram(t, url, caller.CreateProgram{ID: id, BudgetTokens: 1 << 30}))
+	require.Equal(t, 201, createProgram(t, url, caller.CreateProgramRequest{ID: id, BudgetTokens: 1 << 30}))
 }
 
 // TestKilledOwnerHoldsNoEngineMemory: an owner killed mid-stream leaves
--- a/systemtest/silent_test.go
+++ b/systemtest/silent_test.go
@@ -34,7 +34,7 @@
 	b.addEntry(0)
 	const id = "jur-silent"
 	want := b.newReference("fleetdesk").answer("fleetdesk", []program.Message{{Role: "user", Content: "long"}}, 1500)
-	require.Equal(t, 201, createProgram(t, b.entryURL[0], caller.CreateProgram{ID: id, BudgetTokens: 1 << 30}))
+	require.Equal(t, 201, createProgram(t, b.entryURL[0], caller.CreateProgramRequest{ID: id, BudgetTokens: 1 << 30}))
 	done := make(chan reply, 1)
 	go func() { done <- programCall(t, b.entryURL[0], id, modelCall(1, "fleetdesk", "long", 1500)) }()
 	require.Eventually(t, func() bool { return b.engineRunning() == 1 }, 2*time.Second, 5*time.Millisecond)
@@ -62,13 +62,13 @@
 	b.callTimeout = 300 * time.Millisecond
 	b.addEntry(0)
 	const id = "sul-hang"
-	require.Equal(t, 201, createProgram(t, b.entryURL[0], caller.CreateProgram{ID: id, BudgetTokens: 1000, NonIdempotentTools: []string{"slow_tool"}}))
+	require.Equal(t, 201, createProgram(t, b.entryURL[0], caller.CreateProgramRequest{ID: id, BudgetTokens: 1000, NonIdempotentTools: []string{"slow_tool"}}))
 	r := programCall(t, b.entryURL[0], id, toolCall(1, "slow_tool", `{}`))
 	require.Equal(t, caller.TypeOutcomeUnknown, r.err.Type, "a non-idempotent call that hangs may have run: %s", r.err.Message)
 	again := programCall(t, b.entryURL[0], id, toolCall(1, "slow_tool", `{}`))
 	require.Equal(t, caller.TypeOutcomeUnknown, again.err.Type, again.err.Message)
 	const id2 = "sul-hang-2"
-	require.Equal(t, 201, createProgram(t, b.entryURL[0], caller.CreateProgram{ID: id2, BudgetTokens: 1000}))
+	require.Equal(t, 201, createProgram(t, b.entryURL[0], caller.CreateProgramRequest{ID: id2, BudgetTokens: 1000}))
 	r = programCall(t, b.entryURL[0], id2, toolCall(1, "slow_tool", `{}`))
 	require.Equal(t, caller.TypeUpstreamFailed, r.err.Type, r.err.Message)
 	require.NotEmpty(t, r.retryAfter)
--- a/workload/player.go
+++ b/workload/player.go
@@ -25,7 +25,7 @@
 	Sequence uint64              `json:"sequence"`
 	Request  caller.Call         `json:"request"`
 	Status   int                 `json:"status"`
-	Answer   *caller.Answer      `json:"answer,omitempty"`
+	Response *caller.Response    `json:"answer,omitempty"`
 	Error    *caller.ErrorDetail `json:"error,omitempty"`
 	Retries  int                 `json:"retries,omitempty"`
 }
@@ -99,7 +99,7 @@
 func (pl *Player) runProgram(ctx context.Context, s *Script, p *Program) {
 	start := time.Now()
 	outcome := Outcome{Program: p.ID}
-	request := caller.CreateProgram{ID: p.ID, BudgetTokens: p.BudgetTokens, Urgency: p.Urgency, Deadline: p.Deadline, NonIdempotentTools: p.NonIdempotentTools}
+	request := caller.CreateProgramRequest{ID: p.ID, BudgetTokens: p.BudgetTokens, Urgency: p.Urgency, Deadline: p.Deadline, NonIdempotentTools: p.NonIdempotentTools}
 	var state caller.ProgramState
 	var errBody caller.ErrorBody
 	resp, err := pl.client.New().Post("v1/programs").BodyJSON(request).Receive(&state, &errBody) //nolint:bodyclose // closed by sling
@@ -153,12 +153,12 @@
 func (pl *Player) call(ctx context.Context, id string, c caller.Call) Exchange {
 	e := Exchange{Program: id, Sequence: c.Sequence, Request: c}
 	for attempt := 0; ; attempt++ {
-		var answer caller.Answer
+		var answer caller.Response
 		var errBody caller.ErrorBody
 		resp, err := pl.client.New().Post("v1/programs/"+id+"/calls").BodyJSON(c).Receive(&answer, &errBody) //nolint:bodyclose // closed by sling
 		e.Status = statusCode(resp)
 		if err == nil && e.Status == http.StatusOK {
-			e.Answer, e.Error = &answer, nil
+			e.Response, e.Error = &answer, nil
 			return e
 		}
 		e.Error = &errBody.Error
