--- a/engine/blocks.go
+++ b/engine/blocks.go
@@ -6,13 +6,13 @@
 	"github.com/wagtaildrum/wagtaildrum/program"
 )
 
-// PromptTokenList returns the prompt tokens of messages: for each message its
+// TokenizePrompt returns the prompt tokens of messages: for each message its
 // role marker followed by the tokens of its content.
-func PromptTokenList(messages []program.Message) []string {
+func TokenizePrompt(messages []program.Message) []string {
 	var tokens []string
 	for _, m := range messages {
 		tokens = append(tokens, m.Role+":")
-		tokens = append(tokens, Tokens(m.Content)...)
+		tokens = append(tokens, Tokenize(m.Content)...)
 	}
 	return tokens
 }
--- a/engine/message.go
+++ b/engine/message.go
@@ -18,9 +18,9 @@
 	MaxCompletionTokens int `json:"max_completion_tokens,omitempty"`
 }
 
-// Limit returns the maximum number of generated tokens that the request sets,
+// MaxTokensOr returns the maximum number of generated tokens that the request sets,
 // or defaultLimit if it sets none.
-func (r *ChatRequest) Limit(defaultLimit int) int {
+func (r *ChatRequest) MaxTokensOr(defaultLimit int) int {
 	switch {
 	case r.MaxCompletionTokens > 0:
 		return r.MaxCompletionTokens
@@ -101,17 +101,17 @@
 	Usage   *Usage   `json:"usage,omitempty"`
 }
 
-// Tokens returns the words of text, which are the tokens of the stand-in engine.
+// Tokenize returns the words of text, which are the tokens of the stand-in engine.
 // Other engines use the tokenizer of their model; for these, entry instances
 // use the number of words as an estimate when they reserve budget.
-func Tokens(text string) []string { return strings.Fields(text) }
+func Tokenize(text string) []string { return strings.Fields(text) }
 
-// PromptTokens returns an estimate of the number of prompt tokens of messages:
+// EstimatePromptTokens returns an estimate of the number of prompt tokens of messages:
 // the words of each message plus one for its role.
-func PromptTokens(messages []program.Message) int64 {
+func EstimatePromptTokens(messages []program.Message) int64 {
 	var n int64
 	for _, m := range messages {
-		n += int64(len(Tokens(m.Content))) + 1
+		n += int64(len(Tokenize(m.Content))) + 1
 	}
 	return n
 }
--- a/entry/call.go
+++ b/entry/call.go
@@ -166,7 +166,7 @@
 	ctx, cancel := e.callContext(ctx, o.prog)
 	defer cancel()
 	replay, history, err := e.begin(ctx, o, req.Sequence, cancel, func(h []program.Message) int64 {
-		return engine.PromptTokens(h) + engine.PromptTokens([]program.Message{user}) + int64(limit)
+		return engine.EstimatePromptTokens(h) + engine.EstimatePromptTokens([]program.Message{user}) + int64(limit)
 	})
 	if replay != nil || err != nil {
 		return replay, err
--- a/entry/chat.go
+++ b/entry/chat.go
@@ -24,7 +24,7 @@
 	ctx, cancel := context.WithTimeout(r.Context(), e.callTimeout)
 	defer cancel()
 	sse := newSSEWriter(w, &req)
-	got, res := e.modelCall(ctx, nil, 0, req.Model, req.Messages, req.Limit(defaultMaxTokens), sse.writeChunk)
+	got, res := e.modelCall(ctx, nil, 0, req.Model, req.Messages, req.MaxTokensOr(defaultMaxTokens), sse.writeChunk)
 	if res.outcome != outcomeDone {
 		e.metrics.failed.Inc(1)
 		sse.writeError(apiError(dispatchError(res)))
@@ -49,11 +49,11 @@
 		return
 	}
 	e.metrics.calls.Inc(1)
-	limit := req.Limit(defaultMaxTokens)
+	limit := req.MaxTokensOr(defaultMaxTokens)
 	ctx, cancel := e.callContext(r.Context(), o.prog)
 	defer cancel()
 	replay, _, err := e.begin(ctx, o, seq, cancel, func([]program.Message) int64 {
-		return engine.PromptTokens(req.Messages) + int64(limit)
+		return engine.EstimatePromptTokens(req.Messages) + int64(limit)
 	})
 	if err != nil {
 		apiError(err).Write(w)
--- a/entry/model.go
+++ b/entry/model.go
@@ -79,7 +79,7 @@
 	body, _ := json.Marshal(engine.ChatRequest{Model: model, Messages: messages, Stream: true,
 		StreamOptions: &engine.StreamOptions{IncludeUsage: true}, MaxTokens: limit})
 	call := &peer.Call{Sequence: seq, Kind: peer.KindEngine, Body: body, Urgency: int(program.UrgencyNormal)}
-	tokens := engine.PromptTokenList(messages)
+	tokens := engine.TokenizePrompt(messages)
 	req := &routing.Request{Target: routing.Target{Model: model}, Key: plainCallKey(messages),
 		Prompt: engine.BlockHashes(tokens, e.blockTokens), Tokens: len(tokens), BlockTokens: e.blockTokens}
 	if o != nil {
--- a/sidecar/cachewatch_test.go
+++ b/sidecar/cachewatch_test.go
@@ -102,7 +102,7 @@
 		var out engine.ChatResponse
 		_, err := sling.New().Base(srv.URL).Post("/v1/chat/completions").BodyJSON(engine.ChatRequest{Model: "m", Messages: messages, MaxTokens: 1}).ReceiveSuccess(&out) //nolint:bodyclose // closed by sling
 		require.NoError(t, err)
-		return engine.BlockHashes(engine.PromptTokenList(messages), 4)
+		return engine.BlockHashes(engine.TokenizePrompt(messages), 4)
 	}
 	blocks := complete("one two three four five six seven eight")
 	w.track(blocks)
--- a/standin/engine.go
+++ b/standin/engine.go
@@ -259,8 +259,8 @@
 		writeJSON(w, http.StatusNotFound, apiError("model_not_found", fmt.Sprintf("this engine serves %q, not %q", e.spec.Model, req.Model)))
 		return
 	}
-	prompt := engine.PromptTokenList(req.Messages)
-	words := generate(prompt, req.Limit(defaultMaxTokens))
+	prompt := engine.TokenizePrompt(req.Messages)
+	words := generate(prompt, req.MaxTokensOr(defaultMaxTokens))
 	skip, err := resumeAfter(r, len(words))
 	if err != nil {
 		writeJSON(w, http.StatusBadRequest, apiError("invalid_request_error", err.Error()))
