--- a/entry/maintenance.go
+++ b/entry/maintenance.go
@@ -48,7 +48,7 @@
 // would keep all later batches from being dropped, and a new owner would have
 // to read them.
 func (e *Entry) rewriteLagging(ctx context.Context) {
-	for _, id := range e.journal.Lagging() {
+	for _, id := range e.journal.LaggingPrograms() {
 		o, ok := e.lookupOwned(id)
 		if !ok {
 			e.journal.Release(id)
--- a/journal/writer.go
+++ b/journal/writer.go
@@ -163,10 +163,10 @@
 	w.unused = append(w.unused, w.references.release(id)...)
 }
 
-// Lagging returns the programs that need a batch more than maxBatchSpan batches
+// LaggingPrograms returns the programs that need a batch more than maxBatchSpan batches
 // behind the newest. Each should write a full record, which allows the older
 // batches to be deleted.
-func (w *Writer) Lagging() []program.ID {
+func (w *Writer) LaggingPrograms() []program.ID {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if w.lastBatch < maxBatchSpan {
