--- a/entry/intent.go
+++ b/entry/intent.go
@@ -58,7 +58,7 @@
 		if err == nil {
 			return intentClaim{version: ver}, nil
 		}
-		if !tableservice.Is(err, tableservice.FailureConflict) && !tableservice.Is(err, tableservice.FailureUnavailable) {
+		if !tableservice.IsFailure(err, tableservice.FailureConflict) && !tableservice.IsFailure(err, tableservice.FailureUnavailable) {
 			return intentClaim{}, err
 		}
 		rec, rerr := e.platform.Get(ctx, key)
--- a/entry/lease.go
+++ b/entry/lease.go
@@ -127,12 +127,12 @@
 	want := e.newLeaseRecord(now.Add(e.leaseTTL))
 	want.New = created
 	newVer, err := e.platform.Put(ctx, leaseKey(id), want, ver)
-	if tableservice.Is(err, tableservice.FailureUnavailable) {
+	if tableservice.IsFailure(err, tableservice.FailureUnavailable) {
 		newVer, err = e.verifyLeaseWrite(ctx, id, want, ver)
 	}
 	var lost *LeaseError
 	switch {
-	case tableservice.Is(err, tableservice.FailureConflict):
+	case tableservice.IsFailure(err, tableservice.FailureConflict):
 		// A concurrent call of the same program may have renewed the lease.
 		o.mu.Lock()
 		renewed := o.leaseVer > ver
@@ -205,7 +205,7 @@
 	key := leaseKey(id)
 	now := e.clock.Now()
 	cur, err := e.platform.Get(ctx, key)
-	if tableservice.Is(err, tableservice.FailureNotFound) {
+	if tableservice.IsFailure(err, tableservice.FailureNotFound) {
 		return acquiredLease{}, notFound(id)
 	}
 	if err != nil {
@@ -229,7 +229,7 @@
 	if err == nil {
 		return got, nil
 	}
-	if !tableservice.Is(err, tableservice.FailureUnavailable) {
+	if !tableservice.IsFailure(err, tableservice.FailureUnavailable) {
 		return acquiredLease{}, err
 	}
 	var rerr error
--- a/entry/leasecreate.go
+++ b/entry/leasecreate.go
@@ -40,12 +40,12 @@
 	var err error
 	got.version, err = e.platform.Put(ctx, leaseKey(id), want, 0)
 	switch {
-	case tableservice.Is(err, tableservice.FailureUnavailable):
+	case tableservice.IsFailure(err, tableservice.FailureUnavailable):
 		var rerr error
 		if got.version, rerr = e.verifyLeaseWrite(ctx, id, want, 0); rerr != nil {
 			return acquiredLease{}, err
 		}
-	case tableservice.Is(err, tableservice.FailureConflict):
+	case tableservice.IsFailure(err, tableservice.FailureConflict):
 		return e.recoverCreatedLease(ctx, created)
 	case err != nil:
 		return acquiredLease{}, err
--- a/entry/leaseend.go
+++ b/entry/leaseend.go
@@ -86,7 +86,7 @@
 		if !idle {
 			continue
 		}
-		if _, err := e.platform.Put(ctx, leaseKey(id), free, ver); err != nil && !tableservice.Is(err, tableservice.FailureConflict) {
+		if _, err := e.platform.Put(ctx, leaseKey(id), free, ver); err != nil && !tableservice.IsFailure(err, tableservice.FailureConflict) {
 			e.log.Warn("leases not released; the remaining ones expire by themselves", "released", released, "of", len(all), "err", err)
 			return
 		}
--- a/entry/toolcall.go
+++ b/entry/toolcall.go
@@ -149,7 +149,7 @@
 // refused, it returns orderErr.
 func (e *Entry) replayIntent(ctx context.Context, id program.ID, req *caller.Call, orderErr error) (*caller.Response, error) {
 	rec, err := e.platform.Get(ctx, intentKey(id, req.Sequence))
-	if tableservice.Is(err, tableservice.FailureNotFound) {
+	if tableservice.IsFailure(err, tableservice.FailureNotFound) {
 		return nil, orderErr
 	}
 	if err != nil {
--- a/entry/watch.go
+++ b/entry/watch.go
@@ -38,7 +38,7 @@
 func (e *Entry) refreshConfig(ctx context.Context) {
 	cfg, err := e.fetchNewerConfig(ctx)
 	if err != nil {
-		if !tableservice.Is(err, tableservice.FailureNotFound) {
+		if !tableservice.IsFailure(err, tableservice.FailureNotFound) {
 			e.log.Warn("configuration not read; the current version stays in use", "err", err)
 		}
 		return
--- a/journal/reader.go
+++ b/journal/reader.go
@@ -149,7 +149,7 @@
 	var firstErr error
 	for range names {
 		// An object that was deleted after it was listed held no needed record.
-		if err := <-errs; err != nil && !tableservice.Is(err, tableservice.FailureNotFound) && firstErr == nil {
+		if err := <-errs; err != nil && !tableservice.IsFailure(err, tableservice.FailureNotFound) && firstErr == nil {
 			firstErr = err
 		}
 	}
--- a/journal/sweep.go
+++ b/journal/sweep.go
@@ -45,7 +45,7 @@
 		w.finishSweep(rows, w.platform.Delete(ctx, keys...))
 	}
 	for _, number := range objects {
-		w.finishSweep([]uint64{number}, w.platform.DropObject(ctx, batchKey(w.name, number)))
+		w.finishSweep([]uint64{number}, w.platform.DeleteObject(ctx, batchKey(w.name, number)))
 	}
 }
 
--- a/journal/writer.go
+++ b/journal/writer.go
@@ -334,7 +334,7 @@
 		return locationObject, w.platform.PutObject(ctx, key, raw)
 	}
 	_, err := w.platform.Put(ctx, key, raw, 0)
-	if tableservice.Is(err, tableservice.FailureConflict) {
+	if tableservice.IsFailure(err, tableservice.FailureConflict) {
 		// An earlier attempt took effect and its response was lost, since no
 		// other process writes this journal.
 		err = nil
--- a/operator/apply.go
+++ b/operator/apply.go
@@ -53,7 +53,7 @@
 // one of version 0 if none has been written.
 func Current(ctx context.Context, pc *tableservice.Client) (*config.Config, error) {
 	rec, err := pc.Get(ctx, config.Key)
-	if tableservice.Is(err, tableservice.FailureNotFound) {
+	if tableservice.IsFailure(err, tableservice.FailureNotFound) {
 		return &config.Config{}, nil
 	}
 	if err != nil {
@@ -89,9 +89,9 @@
 	switch {
 	case err == nil:
 		return next, nil
-	case tableservice.Is(err, tableservice.FailureConflict) && errors.As(err, &pe):
+	case tableservice.IsFailure(err, tableservice.FailureConflict) && errors.As(err, &pe):
 		return 0, &StaleError{planned: plan.BaseVersion(), current: pe.Current()}
-	case tableservice.Is(err, tableservice.FailureUnavailable):
+	case tableservice.IsFailure(err, tableservice.FailureUnavailable):
 		return next, resolveUnknownWrite(ctx, pc, plan, desired, err)
 	}
 	return 0, err
@@ -112,7 +112,7 @@
 		{config.DeltaKey(next), config.MakeDelta(current, desired), 0},
 		{config.HeadKey, struct{}{}, base},
 	} {
-		op, err := tableservice.PutOp(r.key, r.value, r.expect)
+		op, err := tableservice.NewPutOp(r.key, r.value, r.expect)
 		if err != nil {
 			return nil, err
 		}
--- a/tableservice/client.go
+++ b/tableservice/client.go
@@ -60,7 +60,7 @@
 	backoff := retry.Backoff{Initial: throttleInitialDelay, Max: throttleMaxDelay}
 	for deadline := time.Now().Add(throttleRetryPeriod); ; {
 		err := c.doOnce(ctx, op, key, s, out)
-		if !Is(err, FailureThrottled) || time.Now().After(deadline) {
+		if !IsFailure(err, FailureThrottled) || time.Now().After(deadline) {
 			return err
 		}
 		if !clock.Sleep(ctx, backoff.Next()) {
@@ -119,10 +119,10 @@
 	return pr.Version, err
 }
 
-// PutOp returns a transaction operation that writes value as JSON at key if
+// NewPutOp returns a transaction operation that writes value as JSON at key if
 // the record's version equals expect. It fails with FailureBadAnswer if
 // value cannot be encoded.
-func PutOp(key string, value any, expect uint64) (TxOp, error) {
+func NewPutOp(key string, value any, expect uint64) (TxOp, error) {
 	raw, err := json.Marshal(value)
 	if err != nil {
 		return TxOp{}, &Error{failure: FailureBadAnswer, op: "tx", key: key, detail: err.Error()}
@@ -169,8 +169,8 @@
 	return or.Names, err
 }
 
-// DropObject deletes the object named key. A missing object is not an error.
-func (c *Client) DropObject(ctx context.Context, key string) error {
+// DeleteObject deletes the object named key. A missing object is not an error.
+func (c *Client) DeleteObject(ctx context.Context, key string) error {
 	return c.do(ctx, "drop-object", key, c.base.New().Delete("objects").QueryStruct(keyQuery{key}), nil)
 }
 
--- a/tableservice/errors.go
+++ b/tableservice/errors.go
@@ -48,8 +48,8 @@
 	return fmt.Sprintf("platform %s %s: %s: %s", e.op, e.key, e.failure, e.detail)
 }
 
-// Is reports whether err is an *Error of kind f. It does not unwrap err.
-func Is(err error, f Failure) bool {
+// IsFailure reports whether err is an *Error of kind f. It does not unwrap err.
+func IsFailure(err error, f Failure) bool {
 	pe, ok := err.(*Error)
 	return ok && pe.failure == f
 }
