--- a/cmd/wagtaildrum/load.go
+++ b/cmd/wagtaildrum/load.go
@@ -58,7 +58,7 @@
 	if err != nil {
 		return err
 	}
-	s := res.Summarise(x, func(*load.Program) bool { return true })
+	s := res.Summarise(x, func(*load.ProgramResult) bool { return true })
 	fmt.Printf("%s %s: %d programs, %d failed, p50 %s, p95 %s, p99 %s, wasted cache %.1f %%\n", res.Experiment, res.Label, s.Count, s.Failed, s.P50, s.P95, s.P99, 100*res.WastedShare())
 	return res.Write(c.Out)
 }
--- a/load/report.go
+++ b/load/report.go
@@ -51,7 +51,7 @@
 	for _, k := range x.Shapes {
 		row := "| " + k.Name + " |"
 		for _, r := range runs {
-			s := r.Summarise(x, func(p *Program) bool { return p.Kind == k.Name })
+			s := r.Summarise(x, func(p *ProgramResult) bool { return p.Kind == k.Name })
 			row += fmt.Sprintf(" %s (%.1f %%) |", formatMillis(s.P95), 100*float64(s.WithinTarget)/float64(max(1, s.Count)))
 		}
 		p.printLine("%s", row)
@@ -66,9 +66,9 @@
 // summariesOf returns the summaries of r.
 func summariesOf(x *Experiment, r *Result) runSummaries {
 	return runSummaries{
-		all:    r.Summarise(x, func(*Program) bool { return true }),
-		burst:  r.Summarise(x, func(p *Program) bool { return p.Phase == PhaseBurst }),
-		urgent: r.Summarise(x, func(p *Program) bool { return p.Urgency == "urgent" }),
+		all:    r.Summarise(x, func(*ProgramResult) bool { return true }),
+		burst:  r.Summarise(x, func(p *ProgramResult) bool { return p.Phase == PhaseBurst }),
+		urgent: r.Summarise(x, func(p *ProgramResult) bool { return p.Urgency == "urgent" }),
 	}
 }
 
--- a/load/result.go
+++ b/load/result.go
@@ -12,8 +12,8 @@
 	"github.com/wagtaildrum/wagtaildrum/standin"
 )
 
-// Program is the result of a program.
-type Program struct {
+// ProgramResult is the result of a program.
+type ProgramResult struct {
 	Kind    string `json:"kind"`
 	Phase   Phase  `json:"phase"`
 	Urgency string `json:"urgency"`
@@ -31,12 +31,12 @@
 
 // Result is the result of a run of an experiment.
 type Result struct {
-	Experiment string        `json:"experiment"`
-	Label      string        `json:"label"`
-	Elapsed    time.Duration `json:"elapsed_ns"`
-	Programs   []Program     `json:"programs"`
-	Tokens     tokenCount    `json:"tokens"`
-	ByTime     []tokenSample `json:"by_time"`
+	Experiment string          `json:"experiment"`
+	Label      string          `json:"label"`
+	Elapsed    time.Duration   `json:"elapsed_ns"`
+	Programs   []ProgramResult `json:"programs"`
+	Tokens     tokenCount      `json:"tokens"`
+	ByTime     []tokenSample   `json:"by_time"`
 	// Utilisation is the share of the elapsed time for which the engines were
 	// busy, averaged over the engines.
 	Utilisation float64 `json:"utilisation"`
@@ -135,7 +135,7 @@
 
 // Summarise returns the statistics of the programs for which include returns
 // true. A failed program counts with the maximum latency of the histogram.
-func (res *Result) Summarise(x *Experiment, include func(*Program) bool) Summary {
+func (res *Result) Summarise(x *Experiment, include func(*ProgramResult) bool) Summary {
 	h := hdrhistogram.New(1, maxLatency.Microseconds(), 3)
 	var s Summary
 	for i := range res.Programs {
@@ -162,7 +162,7 @@
 
 // latencyTarget returns the latency target of p, or 0 if x has no shape of
 // its kind.
-func (x *Experiment) latencyTarget(p *Program) time.Duration {
+func (x *Experiment) latencyTarget(p *ProgramResult) time.Duration {
 	i := slices.IndexFunc(x.Shapes, func(k ProgramShape) bool { return k.Name == p.Kind })
 	if i < 0 {
 		return 0
--- a/load/runner.go
+++ b/load/runner.go
@@ -84,7 +84,7 @@
 
 	mu sync.Mutex
 	// results holds the results of the programs, in the order of their ends.
-	results []Program
+	results []ProgramResult
 }
 
 // Run runs the programs of the experiment against the targets and returns the
@@ -134,7 +134,7 @@
 }
 
 // addResult records the result of a program.
-func (r *runner) addResult(p Program) {
+func (r *runner) addResult(p ProgramResult) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.results = append(r.results, p)
@@ -149,17 +149,17 @@
 	// lastSequence is the sequence number of the last call.
 	lastSequence uint64
 	// result is the result of a program. That of a sub-agent is discarded.
-	result Program
+	result ProgramResult
 	// previousTokens is the number of prompt and generated tokens of the last
 	// turn.
 	previousTokens int64
 }
 
 // run executes plan at a random entry instance and returns the result.
-func (r *runner) run(ctx context.Context, plan *programPlan) Program {
+func (r *runner) run(ctx context.Context, plan *programPlan) ProgramResult {
 	entry := r.targets.Entries[rand.IntN(len(r.targets.Entries))]
 	p := &programRun{r: r, plan: plan, base: sling.New().Client(r.http).Base(entry + "/"),
-		result: Program{Kind: plan.shape.Name, Phase: plan.phase, Urgency: plan.shape.Urgency, Turns: len(plan.turns), Idle: plan.idleTime}}
+		result: ProgramResult{Kind: plan.shape.Name, Phase: plan.phase, Urgency: plan.shape.Urgency, Turns: len(plan.turns), Idle: plan.idleTime}}
 	start := time.Now()
 	err := p.execute(ctx)
 	p.result.Latency = time.Since(start)
--- a/systemtest/load_test.go
+++ b/systemtest/load_test.go
@@ -38,7 +38,7 @@
 
 	res, err := load.Run(context.Background(), x, targets, "ours")
 	require.NoError(t, err)
-	all := res.Summarise(x, func(*load.Program) bool { return true })
+	all := res.Summarise(x, func(*load.ProgramResult) bool { return true })
 	require.Greater(t, all.Count, 10)
 	require.Zero(t, all.Failed, "%+v", res.Programs)
 	require.Positive(t, res.Tokens.Reusable)
