--- a/cmd/wagtaildrum/standin.go
+++ b/cmd/wagtaildrum/standin.go
@@ -74,7 +74,7 @@
 	ctx, stop := signalContext()
 	defer stop()
 	pl := standin.NewPlatform(s.InstanceLag, time.Now)
-	pl.SetLimits(standin.Limits{WritesPerSecond: s.WritesPerSecond, ReadsPerSecond: s.ReadsPerSecond, Table: s.TableTime, Object: s.ObjectTime})
+	pl.SetLimits(standin.Limits{WritesPerSecond: s.WritesPerSecond, ReadsPerSecond: s.ReadsPerSecond, TableLatency: s.TableTime, ObjectLatency: s.ObjectTime})
 	if err := p.serveDebug(ctx, s.Debug, pl.State); err != nil {
 		return err
 	}
--- a/journal/journal_test.go
+++ b/journal/journal_test.go
@@ -115,7 +115,7 @@
 func TestLostAcknowledgementsKeepAllTurns(t *testing.T) {
 	b := newWriterFixture(t)
 	for turn := range 30 {
-		b.store.LoseAcks(2)
+		b.store.LoseResponses(2)
 		var pending []*journal.Pending
 		for i := range 12 {
 			pending = append(pending, b.turn(program.ID(fmt.Sprint("p", i)), 1, fmt.Sprint("turn ", turn)))
--- a/standin/faults.go
+++ b/standin/faults.go
@@ -21,18 +21,18 @@
 // ends it if on is false.
 func (p *Platform) SetOutage(on bool) { p.withLock(func() { p.outage = on }) }
 
-// LoseAcks makes the next n writes take effect but respond with status 503,
+// LoseResponses makes the next n writes take effect but respond with status 503,
 // which simulates a response lost after the commit.
-func (p *Platform) LoseAcks(n int) { p.withLock(func() { p.lostResponses = n }) }
+func (p *Platform) LoseResponses(n int) { p.withLock(func() { p.lostResponses = n }) }
 
-// FailReads makes the next n reads of lease records fail with status 503.
-func (p *Platform) FailReads(n int) { p.withLock(func() { p.failLeaseReads = n }) }
+// FailLeaseReads makes the next n reads of lease records fail with status 503.
+func (p *Platform) FailLeaseReads(n int) { p.withLock(func() { p.failLeaseReads = n }) }
 
-// RefuseWritesAfter lets the next n writes take effect and rejects all later
+// RejectWritesAfter lets the next n writes take effect and rejects all later
 // ones with status 503 and without effect, which simulates an outage that
 // starts between two writes. A negative n ends the rejection. Deletions
 // outside a transaction and updates of the instance list are not affected.
-func (p *Platform) RefuseWritesAfter(n int) { p.withLock(func() { p.writesBeforeRefusal = n }) }
+func (p *Platform) RejectWritesAfter(n int) { p.withLock(func() { p.writesBeforeRefusal = n }) }
 
 // refuseWrite reports whether the current write must be rejected, and
 // otherwise counts down the writes before rejection. p.mu must be held.
@@ -52,9 +52,9 @@
 	// WritesPerSecond and ReadsPerSecond are rate limits, or 0 for no limit.
 	// Calls that exceed them fail with status 429.
 	WritesPerSecond, ReadsPerSecond int
-	// Table and Object are the durations of a call to the table service and
+	// TableLatency and ObjectLatency are the durations of a call to the table service and
 	// to the object store.
-	Table, Object time.Duration
+	TableLatency, ObjectLatency time.Duration
 }
 
 // SetLimits sets the platform's limits. The token buckets allow bursts of a
@@ -91,9 +91,9 @@
 		return false
 	}
 	if strings.HasPrefix(r.URL.Path, "/object") {
-		time.Sleep(limits.Object)
+		time.Sleep(limits.ObjectLatency)
 	} else {
-		time.Sleep(limits.Table)
+		time.Sleep(limits.TableLatency)
 	}
 	return true
 }
--- a/standin/tool.go
+++ b/standin/tool.go
@@ -76,12 +76,12 @@
 	t.totalExecutions++
 	t.mu.Unlock()
 	time.Sleep(t.duration)
-	writeJSON(w, http.StatusOK, ToolAnswer(name, args))
+	writeJSON(w, http.StatusOK, ToolResultFor(name, args))
 }
 
-// ToolAnswer returns the result of a call of tool name with args. The result
+// ToolResultFor returns the result of a call of tool name with args. The result
 // is a function of name and args only.
-func ToolAnswer(name string, args []byte) ToolResult {
+func ToolResultFor(name string, args []byte) ToolResult {
 	sum := xxhash.Sum64(append([]byte(name+":"), args...))
 	return ToolResult{Tool: name, Result: fmt.Sprintf("%s-ok-%04x", name, sum%0x10000)}
 }
--- a/systemtest/linear_test.go
+++ b/systemtest/linear_test.go
@@ -129,19 +129,19 @@
 		wg.Go(func() { b.raceCalls(h, id, client) })
 	}
 	for _, fault := range []func(){
-		func() { b.platform.LoseAcks(2) },
+		func() { b.platform.LoseResponses(2) },
 		func() { b.platform.SetOutage(true) },
 		func() { b.platform.SetOutage(false) },
 		// The store fails between two writes of one call, and the owner
 		// dies before it comes back: once before the intent is taken, once
 		// after.
-		func() { b.platform.RefuseWritesAfter(0) },
+		func() { b.platform.RejectWritesAfter(0) },
 		func() { b.killOwner(id) },
-		func() { b.platform.RefuseWritesAfter(-1) },
-		func() { b.platform.LoseAcks(3) },
-		func() { b.platform.RefuseWritesAfter(1) },
+		func() { b.platform.RejectWritesAfter(-1) },
+		func() { b.platform.LoseResponses(3) },
+		func() { b.platform.RejectWritesAfter(1) },
 		func() { b.killOwner(id) },
-		func() { b.platform.RefuseWritesAfter(-1) },
+		func() { b.platform.RejectWritesAfter(-1) },
 	} {
 		time.Sleep(200 * time.Millisecond)
 		fault()
@@ -185,7 +185,7 @@
 	seq := uint64(1)
 	for op := range 40 {
 		args := fmt.Sprintf(`{"porch":"%d/%d"}`, client, op)
-		in := onceInput{seq: seq, mine: standin.ToolAnswer("dispatch_van", []byte(args)).Result}
+		in := onceInput{seq: seq, mine: standin.ToolResultFor("dispatch_van", []byte(args)).Result}
 		start := h.now()
 		// A call cut off by a kill is answered nothing: it may have run.
 		out := onceOutput{kind: onceUnknown}
--- a/systemtest/once_test.go
+++ b/systemtest/once_test.go
@@ -31,7 +31,7 @@
 	spec := caller.CreateProgramRequest{ID: "sul-van", BudgetTokens: 1000, NonIdempotentTools: []string{"dispatch_van"}}
 	require.Equal(t, 201, createProgram(t, b.entryURL[0], spec))
 
-	b.platform.LoseAcks(1)
+	b.platform.LoseResponses(1)
 	var wg sync.WaitGroup
 	replies := make([]reply, 8)
 	for i := range replies {
@@ -76,12 +76,12 @@
 	// The intent write takes effect; the platform is down before the
 	// settle write, so the record stays "dispatched". The turn's own record
 	// cannot be written either, so the answer is withheld, not given.
-	b.platform.RefuseWritesAfter(1)
+	b.platform.RejectWritesAfter(1)
 	r := programCall(t, b.entryURL[0], spec.ID, toolCall(1, "billing_charge", `{"gigabytes": 32}`))
 	require.Equal(t, caller.TypeNotDurable, r.err.Type, r.err.Message)
 	require.Equal(t, 1, b.tool.Executions(spec.ID+"/1"), "the charge ran")
 	b.kill(0)
-	b.platform.RefuseWritesAfter(-1)
+	b.platform.RejectWritesAfter(-1)
 
 	time.Sleep(400 * time.Millisecond) // entry-2 adopts the program on the call
 	moved := programCall(t, b.entryURL[1], spec.ID, toolCall(1, "billing_charge", `{"gigabytes": 32}`))
--- a/systemtest/owner_test.go
+++ b/systemtest/owner_test.go
@@ -88,8 +88,8 @@
 func TestLostCreationIsFoundAgain(t *testing.T) {
 	b := newBed(t, oneEngine, 2)
 	spec := caller.CreateProgramRequest{ID: "jur-lost-creation", BudgetTokens: 5000}
-	b.platform.LoseAcks(1)
-	b.platform.FailReads(1)
+	b.platform.LoseResponses(1)
+	b.platform.FailLeaseReads(1)
 	require.Equal(t, 503, createProgram(t, b.entryURL[0], spec))
 	require.Equal(t, 201, createProgram(t, b.entryURL[0], spec))
 	require.Equal(t, 409, createProgram(t, b.entryURL[0], spec))
