--- a/account/errors.go
+++ b/account/errors.go
@@ -35,7 +35,7 @@
 	program, holders string
 }
 
-// Owners describes the accounts that hold the budget and the tokens of each,
+// Holders describes the accounts that hold the budget and the tokens of each,
 // as this instance last read them.
 func (e *HeldError) Holders() string { return e.holders }
 
--- a/admission/gate_test.go
+++ b/admission/gate_test.go
@@ -107,7 +107,7 @@
 			const step = 100 * time.Millisecond
 			for i := range 2 * int(admission.DefaultMaxShift/step) {
 				l.clk.Advance(step)
-				// FirstCall programs for one order, old programs for the other: each has
+				// New programs for one order, old programs for the other: each has
 				// those that it prefers.
 				l.submit(fmt.Sprint("other-", i), admission.Ticket{Started: l.clk.Now().Add(-time.Hour)})
 				if l.releaseOne() == "long" {
--- a/cmd/wagtaildrum/front.go
+++ b/cmd/wagtaildrum/front.go
@@ -186,7 +186,7 @@
 // dropConnections closes the idle connections to an endpoint that was restarted.
 func (f *front) dropConnections(endpoint *membership.Endpoint) { f.client.CloseIdle(endpoint.Address) }
 
-// durability implements gateway.StoreStatus.
+// storeStatus implements gateway.StoreStatus.
 type storeStatus struct {
 	store     *store.Guard
 	directory *entrypeer.Directory
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -17,7 +17,7 @@
 	"github.com/wagtaildrum/wagtaildrum/upstream"
 )
 
-// Segments holds the dependencies and settings of a Gateway.
+// Config holds the dependencies and settings of a Gateway.
 type Config struct {
 	// Instance is this instance's name in the directory of instances.
 	Instance    string
--- a/quota/bucket.go
+++ b/quota/bucket.go
@@ -83,7 +83,7 @@
 	Remaining, Ahead, Returned int
 }
 
-// CreditResponse is the response of a home to an CreditRequest.
+// CreditResponse is the response of a home to a CreditRequest.
 type CreditResponse struct {
 	// Granted reports whether the caller request may run once Wait has passed.
 	// If it is false, the caller may retry after Wait.
--- a/quota/credit.go
+++ b/quota/credit.go
@@ -34,7 +34,7 @@
 	// returned is the credit of requests that were not run, to be reported to
 	// the home.
 	returned int
-	// requesting is set while an CreditRequest for credit ahead is in flight. With two in
+	// requesting is set while a CreditRequest for credit ahead is in flight. With two in
 	// flight, the home could not determine the remaining credit.
 	requesting bool
 }
@@ -70,7 +70,7 @@
 	return creditRequest
 }
 
-// Take applies the response to an CreditRequest sent at sent. The response is the zero
+// Take applies the response to a CreditRequest sent at sent. The response is the zero
 // CreditResponse if none was received.
 func (credit *Credit) Take(request CreditRequest, response CreditResponse, sent time.Time) {
 	if request.Remaining >= 0 {
--- a/quota/limiter.go
+++ b/quota/limiter.go
@@ -73,7 +73,7 @@
 	TransferBuckets(ctx context.Context, instance string, transfer Transfer) (Transfer, error)
 }
 
-// HomeRequest is an CreditRequest for the credit of an organisation.
+// HomeRequest is a CreditRequest for the credit of an organisation.
 type HomeRequest struct {
 	Organisation  string
 	Limit         Limit
